--- a/Source/Jobs/JobBook.cpp
+++ b/Source/Jobs/JobBook.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Applies recorded events to the book of jobs.
+/// Applies job events to the in-memory state of the jobs.
 
 #include "balsamlatch/Jobs/JobBook.h"
 
@@ -10,20 +10,21 @@
 
 namespace {
 
-bool pending(const Job &Which) {
-  return Which.open() && !Which.Record.Begun && Which.spec().Times.Repeats == 0;
+bool isPending(const Job &Candidate) {
+  return Candidate.open() && !Candidate.Record.EverPlaced &&
+         Candidate.spec().Times.Repeats == 0;
 }
 
-OccurrenceRecord emptyOccurrence(const JobSpec &Spec) {
-  OccurrenceRecord Steps;
-  Steps.reserve(Spec.Steps.size());
+OccurrenceRecord makeOccurrence(const JobSpec &Spec) {
+  OccurrenceRecord Occurrence;
+  Occurrence.reserve(Spec.Steps.size());
   for (const StepSpec &Step : Spec.Steps) {
-    Steps.emplace_back(Step.Count);
+    Occurrence.emplace_back(Step.Count);
   }
-  return Steps;
+  return Occurrence;
 }
 
-std::uint64_t tasksOf(const JobSpec &Spec) {
+std::uint64_t countTasks(const JobSpec &Spec) {
   std::uint64_t Count = 0;
   for (const StepSpec &Step : Spec.Steps) {
     Count += Step.Count;
@@ -31,19 +32,20 @@
   return Count * Spec.occurrences();
 }
 
-/// The end of one member of a gang as done stands for all members.
-void endGang(StepRecord &Step, Job &Owner) {
+/// Marks every task of a gang as done: the gang is done when one member is.
+void completeGang(StepRecord &Step, Job &ParentJob) {
   for (TaskRecord &Member : Step) {
     if (Member.Phase == TaskPhase::Done) {
       continue;
     }
-    Owner.PlacedTasks -= Member.Phase == TaskPhase::Placed ? 1 : 0;
+    ParentJob.PlacedTasks -= Member.Phase == TaskPhase::Placed ? 1 : 0;
     Member.Phase = TaskPhase::Done;
-    --Owner.OpenTasks;
+    --ParentJob.OpenTasks;
   }
 }
 
-/// Keeps the newest checkpoint; one of a gang's member is good for all.
+/// Stores the newest checkpoint of a task. A gang shares its checkpoint, so
+/// every member receives it.
 void saveCheckpoint(const StepSpec &Spec, StepRecord &Step, TaskRecord &Task,
                     const std::string &Checkpoint) {
   if (Checkpoint.empty()) {
@@ -57,31 +59,32 @@
   }
 }
 
-/// Counts a failed run, that of a gang once for all members.
+/// Counts a failed run. When several members of a gang fail in the same run,
+/// only the first failure counts.
 void countFailure(const StepSpec &Spec, const StepRecord &Step,
                   TaskRecord &Task) {
-  const bool Counted =
+  const bool IsCounted =
       Spec.Gang &&
       std::any_of(Step.begin(), Step.end(), [&](const TaskRecord &Member) {
-        return Member.FailedRun == Task.Run;
+        return Member.LastFailedRun == Task.Run;
       });
-  Task.FailedRun = Task.Run;
-  Task.Failures += Counted ? 0 : 1;
+  Task.LastFailedRun = Task.Run;
+  Task.Failures += IsCounted ? 0 : 1;
 }
 
-/// Failed runs of a task, or of a gang together. A lasting task may fail any
-/// number of times.
-std::uint32_t failuresOf(const StepSpec &Spec, const StepRecord &Tasks) {
-  std::uint32_t Worst = 0;
-  std::uint32_t Sum = 0;
+/// The largest failure count of a task in the step, or the sum over a gang.
+/// Zero for lasting steps, whose tasks are restarted without limit.
+std::uint32_t countStepFailures(const StepSpec &Spec, const StepRecord &Tasks) {
+  std::uint32_t MaxFailures = 0;
+  std::uint32_t TotalFailures = 0;
   for (const TaskRecord &Task : Tasks) {
-    Worst = std::max(Worst, Task.Failures);
-    Sum += Task.Failures;
+    MaxFailures = std::max(MaxFailures, Task.Failures);
+    TotalFailures += Task.Failures;
   }
   if (Spec.Lasting) {
     return 0;
   }
-  return Spec.Gang ? Sum : Worst;
+  return Spec.Gang ? TotalFailures : MaxFailures;
 }
 
 } // namespace
@@ -108,17 +111,19 @@
 }
 
 bool Job::ready(unsigned Occurrence, unsigned Step) const {
-  const auto Found = Record.Occurrences.find(Occurrence);
-  const auto &After = spec().Steps[Step].After;
-  if (Found == Record.Occurrences.end()) {
-    return After.empty();
+  const auto It = Record.Occurrences.find(Occurrence);
+  const auto &Dependencies = spec().Steps[Step].After;
+  if (It == Record.Occurrences.end()) {
+    return Dependencies.empty();
   }
-  return std::all_of(After.begin(), After.end(), [&](unsigned Earlier) {
-    const StepRecord &Tasks = Found->second[Earlier];
-    return std::all_of(Tasks.begin(), Tasks.end(), [](const TaskRecord &Task) {
-      return Task.Phase == TaskPhase::Done;
-    });
-  });
+  return std::all_of(
+      Dependencies.begin(), Dependencies.end(), [&](unsigned Dependency) {
+        const StepRecord &Tasks = It->second[Dependency];
+        return std::all_of(Tasks.begin(), Tasks.end(),
+                           [](const TaskRecord &Task) {
+                             return Task.Phase == TaskPhase::Done;
+                           });
+      });
 }
 
 WallTime Job::dueAt(unsigned Occurrence) const {
@@ -128,188 +133,196 @@
 }
 
 const TaskRecord *Job::find(const TaskRef &Task) const {
-  const auto Found = Record.Occurrences.find(Task.Occurrence);
-  if (Found == Record.Occurrences.end() || Task.Step >= Found->second.size() ||
-      Task.Index >= Found->second[Task.Step].size()) {
+  const auto It = Record.Occurrences.find(Task.Occurrence);
+  if (It == Record.Occurrences.end() || Task.Step >= It->second.size() ||
+      Task.Index >= It->second[Task.Step].size()) {
     return nullptr;
   }
-  return &Found->second[Task.Step][Task.Index];
+  return &It->second[Task.Step][Task.Index];
 }
 
 JobSnapshot Job::snapshot() const {
   if (!settled()) {
     return Record;
   }
-  JobSnapshot Rest;
-  Rest.Accepted.Job = Record.Accepted.Job;
-  Rest.Accepted.Queue = Record.Accepted.Queue;
-  Rest.Accepted.At = Record.Accepted.At;
-  Rest.State = Record.State;
-  Rest.ClosedAt = Record.ClosedAt;
-  Rest.Begun = Record.Begun;
-  return Rest;
+  JobSnapshot Summary;
+  Summary.Accepted.Job = Record.Accepted.Job;
+  Summary.Accepted.Queue = Record.Accepted.Queue;
+  Summary.Accepted.At = Record.Accepted.At;
+  Summary.State = Record.State;
+  Summary.ClosedAt = Record.ClosedAt;
+  Summary.EverPlaced = Record.EverPlaced;
+  return Summary;
 }
 
 std::uint32_t Job::worstFailures() const {
-  std::uint32_t Worst = 0;
-  for (const auto &[Number, Steps] : Record.Occurrences) {
-    for (std::size_t Step = 0; Step < Steps.size(); ++Step) {
-      Worst = std::max(Worst, failuresOf(spec().Steps[Step], Steps[Step]));
+  std::uint32_t MaxFailures = 0;
+  for (const auto &[OccurrenceIndex, Steps] : Record.Occurrences) {
+    for (std::size_t StepIndex = 0; StepIndex < Steps.size(); ++StepIndex) {
+      MaxFailures =
+          std::max(MaxFailures, countStepFailures(spec().Steps[StepIndex],
+                                                  Steps[StepIndex]));
     }
   }
-  return Worst;
+  return MaxFailures;
 }
 
 void JobBook::apply(const JobEvent &Event, std::uint64_t Sequence) {
-  std::visit([this, Sequence](const auto &Kind) { take(Kind, Sequence); },
+  std::visit([this, Sequence](
+                 const auto &TypedEvent) { applyEvent(TypedEvent, Sequence); },
              Event);
 }
 
 const Job *JobBook::find(const JobId &Id) const {
-  const auto Found = All.find(Id);
-  return Found == All.end() ? nullptr : &Found->second;
+  const auto It = JobsById.find(Id);
+  return It == JobsById.end() ? nullptr : &It->second;
 }
 
 Job *JobBook::findMutable(const JobId &Id) {
-  const auto Found = All.find(Id);
-  return Found == All.end() ? nullptr : &Found->second;
+  const auto It = JobsById.find(Id);
+  return It == JobsById.end() ? nullptr : &It->second;
 }
 
-TaskRecord *JobBook::findTask(Job &Owner, const TaskRef &Task) {
-  auto Found = Owner.Record.Occurrences.find(Task.Occurrence);
-  if (Found == Owner.Record.Occurrences.end()) {
-    if (Task.Occurrence >= Owner.spec().occurrences()) {
+TaskRecord *JobBook::findTask(Job &ParentJob, const TaskRef &Task) {
+  auto It = ParentJob.Record.Occurrences.find(Task.Occurrence);
+  if (It == ParentJob.Record.Occurrences.end()) {
+    if (Task.Occurrence >= ParentJob.spec().occurrences()) {
       return nullptr;
     }
-    Found = Owner.Record.Occurrences
-                .emplace(Task.Occurrence, emptyOccurrence(Owner.spec()))
-                .first;
+    It = ParentJob.Record.Occurrences
+             .emplace(Task.Occurrence, makeOccurrence(ParentJob.spec()))
+             .first;
   }
-  if (Task.Step >= Found->second.size() ||
-      Task.Index >= Found->second[Task.Step].size()) {
+  if (Task.Step >= It->second.size() ||
+      Task.Index >= It->second[Task.Step].size()) {
     return nullptr;
   }
-  return &Found->second[Task.Step][Task.Index];
+  return &It->second[Task.Step][Task.Index];
 }
 
-void JobBook::countPending(const Job &Which, int Change) {
-  if (pending(Which)) {
-    Pending[Which.Record.Accepted.Queue] += Change;
+void JobBook::adjustPendingCount(const Job &Candidate, int Delta) {
+  if (isPending(Candidate)) {
+    PendingCounts[Candidate.Record.Accepted.Queue] += Delta;
   }
 }
 
 unsigned JobBook::pendingCount(const QueueName &Queue) const {
-  const auto Found = Pending.find(Queue);
-  return Found == Pending.end() ? 0 : Found->second;
+  const auto It = PendingCounts.find(Queue);
+  return It == PendingCounts.end() ? 0 : It->second;
 }
 
-std::uint64_t JobBook::oldestNeeded(std::uint64_t Next) const {
-  std::uint64_t Oldest = Next;
-  for (const auto &[Id, Each] : All) {
-    Oldest = std::min(Oldest, Each.FirstRecord);
+std::uint64_t JobBook::oldestNeeded(std::uint64_t NextSequence) const {
+  std::uint64_t OldestSequence = NextSequence;
+  for (const auto &[Id, KnownJob] : JobsById) {
+    OldestSequence = std::min(OldestSequence, KnownJob.FirstRecord);
   }
-  return Oldest;
+  return OldestSequence;
 }
 
-void JobBook::take(const JobAccepted &Event, std::uint64_t Sequence) {
-  if (All.contains(Event.Job)) {
+void JobBook::applyEvent(const JobAccepted &Event, std::uint64_t Sequence) {
+  if (JobsById.contains(Event.Job)) {
     return;
   }
-  Job &New = All[Event.Job];
-  New.Record.Accepted = Event;
-  New.FirstRecord = Sequence;
-  New.OpenTasks = tasksOf(Event.Spec);
-  countPending(New, 1);
+  Job &NewJob = JobsById[Event.Job];
+  NewJob.Record.Accepted = Event;
+  NewJob.FirstRecord = Sequence;
+  NewJob.OpenTasks = countTasks(Event.Spec);
+  adjustPendingCount(NewJob, 1);
 }
 
-void JobBook::take(const TaskPlaced &Event, std::uint64_t /*Sequence*/) {
-  Job *Owner = findMutable(Event.Task.Job);
-  TaskRecord *Task = Owner == nullptr ? nullptr : findTask(*Owner, Event.Task);
+void JobBook::applyEvent(const TaskPlaced &Event, std::uint64_t /*Sequence*/) {
+  Job *ParentJob = findMutable(Event.Task.Job);
+  TaskRecord *Task =
+      ParentJob == nullptr ? nullptr : findTask(*ParentJob, Event.Task);
   if (Task == nullptr || Task->Phase == TaskPhase::Done ||
       Event.Run <= Task->Run) {
     return;
   }
-  countPending(*Owner, -1);
-  Owner->Record.Begun = true;
-  if (Owner->open()) {
-    Owner->Record.State = JobState::Running;
+  adjustPendingCount(*ParentJob, -1);
+  ParentJob->Record.EverPlaced = true;
+  if (ParentJob->open()) {
+    ParentJob->Record.State = JobState::Running;
   }
-  Owner->PlacedTasks += Task->Phase == TaskPhase::Placed ? 0 : 1;
+  ParentJob->PlacedTasks += Task->Phase == TaskPhase::Placed ? 0 : 1;
   Task->Phase = TaskPhase::Placed;
   Task->Run = Event.Run;
   Task->Worker = Event.Worker;
 }
 
-void JobBook::take(const TaskEnded &Event, std::uint64_t /*Sequence*/) {
-  Job *Owner = findMutable(Event.Task.Job);
-  TaskRecord *Task = Owner == nullptr ? nullptr : findTask(*Owner, Event.Task);
-  // A run that was given up as lost may turn out to have ended as done while
-  // the task still waits for its next run.
+void JobBook::applyEvent(const TaskEnded &Event, std::uint64_t /*Sequence*/) {
+  Job *ParentJob = findMutable(Event.Task.Job);
+  TaskRecord *Task =
+      ParentJob == nullptr ? nullptr : findTask(*ParentJob, Event.Task);
+  // The task may be Waiting here: a run recorded as lost can still be reported
+  // as done before the next run is placed.
   if (Task == nullptr || Task->Phase == TaskPhase::Done ||
       Event.Run != Task->Run) {
     return;
   }
-  Owner->PlacedTasks -= Task->Phase == TaskPhase::Placed ? 1 : 0;
-  const StepSpec &Step = Owner->spec().Steps[Event.Task.Step];
+  ParentJob->PlacedTasks -= Task->Phase == TaskPhase::Placed ? 1 : 0;
+  const StepSpec &Step = ParentJob->spec().Steps[Event.Task.Step];
   StepRecord &Members =
-      Owner->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step];
+      ParentJob->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step];
   saveCheckpoint(Step, Members, *Task, Event.Checkpoint);
   Task->Worker = WorkerLife();
-  const bool Done = Event.How == RunEnd::Done && !Step.Lasting;
-  Task->Phase = Done ? TaskPhase::Done : TaskPhase::Waiting;
-  Owner->OpenTasks -= Done ? 1 : 0;
+  const bool IsTaskDone = Event.How == RunEnd::Done && !Step.Lasting;
+  Task->Phase = IsTaskDone ? TaskPhase::Done : TaskPhase::Waiting;
+  ParentJob->OpenTasks -= IsTaskDone ? 1 : 0;
   if (Event.How == RunEnd::Failed && !Step.Lasting) {
     countFailure(Step, Members, *Task);
   }
-  if (Step.Gang && Done) {
-    endGang(Members, *Owner);
+  if (Step.Gang && IsTaskDone) {
+    completeGang(Members, *ParentJob);
   }
 }
 
-void JobBook::take(const CheckpointSaved &Event, std::uint64_t /*Sequence*/) {
-  Job *Owner = findMutable(Event.Task.Job);
-  TaskRecord *Task = Owner == nullptr ? nullptr : findTask(*Owner, Event.Task);
+void JobBook::applyEvent(const CheckpointSaved &Event,
+                         std::uint64_t /*Sequence*/) {
+  Job *ParentJob = findMutable(Event.Task.Job);
+  TaskRecord *Task =
+      ParentJob == nullptr ? nullptr : findTask(*ParentJob, Event.Task);
   if (Task != nullptr && Task->Phase == TaskPhase::Placed &&
       Event.Run == Task->Run) {
     saveCheckpoint(
-        Owner->spec().Steps[Event.Task.Step],
-        Owner->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step],
+        ParentJob->spec().Steps[Event.Task.Step],
+        ParentJob->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step],
         *Task, Event.Checkpoint);
   }
 }
 
-void JobBook::take(const JobClosed &Event, std::uint64_t /*Sequence*/) {
-  Job *Owner = findMutable(Event.Job);
-  if (Owner == nullptr || !Owner->open()) {
+void JobBook::applyEvent(const JobClosed &Event, std::uint64_t /*Sequence*/) {
+  Job *ClosedJob = findMutable(Event.Job);
+  if (ClosedJob == nullptr || !ClosedJob->open()) {
     return;
   }
-  countPending(*Owner, -1);
-  Owner->Record.State = Event.State;
-  Owner->Record.ClosedAt = Event.At;
+  adjustPendingCount(*ClosedJob, -1);
+  ClosedJob->Record.State = Event.State;
+  ClosedJob->Record.ClosedAt = Event.At;
 }
 
-void JobBook::take(const JobForgotten &Event, std::uint64_t /*Sequence*/) {
-  All.erase(Event.Job);
+void JobBook::applyEvent(const JobForgotten &Event,
+                         std::uint64_t /*Sequence*/) {
+  JobsById.erase(Event.Job);
 }
 
-void JobBook::take(const JobSnapshot &Event, std::uint64_t Sequence) {
-  if (Job *Old = findMutable(Event.Accepted.Job)) {
-    countPending(*Old, -1);
+void JobBook::applyEvent(const JobSnapshot &Event, std::uint64_t Sequence) {
+  if (Job *PreviousJob = findMutable(Event.Accepted.Job)) {
+    adjustPendingCount(*PreviousJob, -1);
   }
-  Job &Owner = All[Event.Accepted.Job];
-  Owner = Job();
-  Owner.Record = Event;
-  Owner.FirstRecord = Sequence;
-  Owner.OpenTasks = tasksOf(Event.Accepted.Spec);
-  for (const auto &[Number, Steps] : Event.Occurrences) {
+  Job &RestoredJob = JobsById[Event.Accepted.Job];
+  RestoredJob = Job();
+  RestoredJob.Record = Event;
+  RestoredJob.FirstRecord = Sequence;
+  RestoredJob.OpenTasks = countTasks(Event.Accepted.Spec);
+  for (const auto &[OccurrenceIndex, Steps] : Event.Occurrences) {
     for (const StepRecord &Step : Steps) {
       for (const TaskRecord &Task : Step) {
-        Owner.OpenTasks -= Task.Phase == TaskPhase::Done ? 1 : 0;
-        Owner.PlacedTasks += Task.Phase == TaskPhase::Placed ? 1 : 0;
+        RestoredJob.OpenTasks -= Task.Phase == TaskPhase::Done ? 1 : 0;
+        RestoredJob.PlacedTasks += Task.Phase == TaskPhase::Placed ? 1 : 0;
       }
     }
   }
-  countPending(Owner, 1);
+  adjustPendingCount(RestoredJob, 1);
 }
 
 } // namespace balsamlatch::jobs
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checks of submitted jobs.
+/// Validation of job specifications and properties derived from them.
 
 #include "balsamlatch/Jobs/JobSpec.h"
 
@@ -10,27 +10,30 @@
 
 namespace {
 
-absl::Status invalid(std::size_t Step, std::string_view What) {
-  return absl::InvalidArgumentError(fmt::format("step {} {}", Step, What));
+absl::Status stepError(std::size_t StepIndex, std::string_view Message) {
+  return absl::InvalidArgumentError(
+      fmt::format("step {} {}", StepIndex, Message));
 }
 
-absl::Status validateStep(std::size_t Number, const StepSpec &Step) {
+absl::Status validateStep(std::size_t StepIndex, const StepSpec &Step) {
   if (Step.Count == 0 || Step.Count > MaxTasksPerJob) {
-    return invalid(Number, fmt::format("has a count of {}; 1 to {} are allowed",
-                                       Step.Count, MaxTasksPerJob));
+    return stepError(StepIndex,
+                     fmt::format("has a count of {}; 1 to {} are allowed",
+                                 Step.Count, MaxTasksPerJob));
   }
   const Resources &Need = Step.Need;
   if (Need.CpuMilli < 0 || Need.MemoryMb < 0 || Need.Gpus < 0) {
-    return invalid(Number, "asks for a negative amount");
+    return stepError(StepIndex, "requests a negative amount of a resource");
   }
   if (Step.Estimate < Duration::zero()) {
-    return invalid(Number, "has a negative estimate");
+    return stepError(StepIndex, "has a negative estimate");
   }
-  for (const unsigned Earlier : Step.After) {
-    if (Earlier >= Number) {
-      return invalid(Number, fmt::format("waits for step {}, which isn't an "
-                                         "earlier one",
-                                         Earlier));
+  for (const unsigned Dependency : Step.After) {
+    if (Dependency >= StepIndex) {
+      return stepError(StepIndex,
+                       fmt::format("depends on step {}, which is not an "
+                                   "earlier step",
+                                   Dependency));
     }
   }
   return absl::OkStatus();
@@ -54,17 +57,18 @@
         fmt::format("the job has {} steps; 1 to {} are allowed",
                     Spec.Steps.size(), MaxStepsPerJob));
   }
-  unsigned Tasks = 0;
-  for (std::size_t Number = 0; Number < Spec.Steps.size(); ++Number) {
-    if (absl::Status Checked = validateStep(Number, Spec.Steps[Number]);
-        !Checked.ok()) {
-      return Checked;
+  unsigned TaskCount = 0;
+  for (std::size_t StepIndex = 0; StepIndex < Spec.Steps.size(); ++StepIndex) {
+    if (absl::Status StepStatus =
+            validateStep(StepIndex, Spec.Steps[StepIndex]);
+        !StepStatus.ok()) {
+      return StepStatus;
     }
-    Tasks += Spec.Steps[Number].Count;
+    TaskCount += Spec.Steps[StepIndex].Count;
   }
-  if (Tasks > MaxTasksPerJob) {
+  if (TaskCount > MaxTasksPerJob) {
     return absl::InvalidArgumentError(fmt::format(
-        "the job has {} tasks; {} are allowed", Tasks, MaxTasksPerJob));
+        "the job has {} tasks; {} are allowed", TaskCount, MaxTasksPerJob));
   }
   if (Spec.Times.Repeats > 0 && Spec.Times.Interval < Duration::zero()) {
     return absl::InvalidArgumentError("the schedule's interval is negative");
@@ -73,17 +77,17 @@
 }
 
 Duration estimatedChain(const JobSpec &Spec) {
-  std::vector<Duration> EndOf(Spec.Steps.size());
-  Duration Longest{};
-  for (std::size_t Number = 0; Number < Spec.Steps.size(); ++Number) {
-    Duration Begin{};
-    for (const unsigned Earlier : Spec.Steps[Number].After) {
-      Begin = std::max(Begin, EndOf[Earlier]);
+  std::vector<Duration> StepEnds(Spec.Steps.size());
+  Duration LongestPath{};
+  for (std::size_t StepIndex = 0; StepIndex < Spec.Steps.size(); ++StepIndex) {
+    Duration StepStart{};
+    for (const unsigned Dependency : Spec.Steps[StepIndex].After) {
+      StepStart = std::max(StepStart, StepEnds[Dependency]);
     }
-    EndOf[Number] = Begin + Spec.Steps[Number].Estimate;
-    Longest = std::max(Longest, EndOf[Number]);
+    StepEnds[StepIndex] = StepStart + Spec.Steps[StepIndex].Estimate;
+    LongestPath = std::max(LongestPath, StepEnds[StepIndex]);
   }
-  return Longest;
+  return LongestPath;
 }
 
 } // namespace balsamlatch::jobs
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Events are arrays that begin with a letter for their kind. Steps are arrays
-/// too: journals hold many of them.
+/// An event is an array whose first item is a letter for its kind. Steps are
+/// arrays rather than objects to keep the many steps of a journal small.
 
 #include "balsamlatch/Jobs/JournalCodec.h"
 
@@ -22,7 +22,7 @@
   FlagFiller = 32,
 };
 
-unsigned flagsOf(const StepSpec &Step) {
+unsigned stepFlags(const StepSpec &Step) {
   return (Step.Checkpoints ? FlagCheckpoints : 0U) |
          (Step.Gang ? FlagGang : 0U) | (Step.SameRack ? FlagSameRack : 0U) |
          (Step.Speculative ? FlagSpeculative : 0U) |
@@ -30,23 +30,23 @@
 }
 
 json::array stepArray(const StepSpec &Step) {
-  json::array After;
-  for (const unsigned Earlier : Step.After) {
-    After.push_back(Earlier);
+  json::array Dependencies;
+  for (const unsigned Dependency : Step.After) {
+    Dependencies.push_back(Dependency);
   }
   return {Step.Count,
           Step.Need.CpuMilli,
           Step.Need.MemoryMb,
           Step.Need.Gpus,
           Step.Estimate.count(),
-          std::move(After),
+          std::move(Dependencies),
           json::string(Step.RequiredLabel),
           json::string(Step.PreferredRack),
           Step.MaxPerWorker,
           Step.MaxUnavailable,
           Step.TailObjective.count(),
           json::string(Step.Image),
-          flagsOf(Step)};
+          stepFlags(Step)};
 }
 
 json::array specArray(const JobSpec &Spec) {
@@ -59,8 +59,9 @@
           Spec.Times.Interval.count()};
 }
 
-/// Reads the items of an array in order. The json library throws on a wrong
-/// type or a missing item; decode() turns that into a status.
+/// Reads the items of an array in order. The JSON library throws on a wrong
+/// type or a missing item; decodeEvents() and decodeSpec() turn the exception
+/// into a status.
 class ItemReader {
 public:
   explicit ItemReader(const json::value &Array) : Items(Array.as_array()) {}
@@ -74,24 +75,24 @@
   std::size_t Position = 0;
 };
 
-StepSpec readStep(const json::value &From) {
-  ItemReader In(From);
+StepSpec readStep(const json::value &Value) {
+  ItemReader Reader(Value);
   StepSpec Step;
-  Step.Count = In.number<unsigned>();
-  Step.Need.CpuMilli = In.number<std::int64_t>();
-  Step.Need.MemoryMb = In.number<std::int64_t>();
-  Step.Need.Gpus = In.number<std::int64_t>();
-  Step.Estimate = Duration(In.number<std::int64_t>());
-  for (const json::value &Earlier : In.next().as_array()) {
-    Step.After.push_back(Earlier.to_number<unsigned>());
+  Step.Count = Reader.number<unsigned>();
+  Step.Need.CpuMilli = Reader.number<std::int64_t>();
+  Step.Need.MemoryMb = Reader.number<std::int64_t>();
+  Step.Need.Gpus = Reader.number<std::int64_t>();
+  Step.Estimate = Duration(Reader.number<std::int64_t>());
+  for (const json::value &Dependency : Reader.next().as_array()) {
+    Step.After.push_back(Dependency.to_number<unsigned>());
   }
-  Step.RequiredLabel = In.text();
-  Step.PreferredRack = In.text();
-  Step.MaxPerWorker = In.number<unsigned>();
-  Step.MaxUnavailable = In.number<unsigned>();
-  Step.TailObjective = Duration(In.number<std::int64_t>());
-  Step.Image = In.text();
-  const auto Flags = In.number<unsigned>();
+  Step.RequiredLabel = Reader.text();
+  Step.PreferredRack = Reader.text();
+  Step.MaxPerWorker = Reader.number<unsigned>();
+  Step.MaxUnavailable = Reader.number<unsigned>();
+  Step.TailObjective = Duration(Reader.number<std::int64_t>());
+  Step.Image = Reader.text();
+  const auto Flags = Reader.number<unsigned>();
   Step.Checkpoints = (Flags & FlagCheckpoints) != 0;
   Step.Gang = (Flags & FlagGang) != 0;
   Step.SameRack = (Flags & FlagSameRack) != 0;
@@ -101,21 +102,21 @@
   return Step;
 }
 
-JobSpec readSpec(const json::value &From) {
-  ItemReader In(From);
+JobSpec readSpec(const json::value &Value) {
+  ItemReader Reader(Value);
   JobSpec Spec;
-  Spec.Text = In.text();
-  for (const json::value &Step : In.next().as_array()) {
+  Spec.Text = Reader.text();
+  for (const json::value &Step : Reader.next().as_array()) {
     Spec.Steps.push_back(readStep(Step));
   }
-  Spec.Times.Repeats = In.number<unsigned>();
-  Spec.Times.First = WallTime(Duration(In.number<std::int64_t>()));
-  Spec.Times.Interval = Duration(In.number<std::int64_t>());
+  Spec.Times.Repeats = Reader.number<unsigned>();
+  Spec.Times.First = WallTime(Duration(Reader.number<std::int64_t>()));
+  Spec.Times.Interval = Duration(Reader.number<std::int64_t>());
   return Spec;
 }
 
-json::array taskArray(std::string_view Kind, const TaskRef &Task,
-                      std::uint32_t Run) {
+json::array taskEventArray(std::string_view Kind, const TaskRef &Task,
+                           std::uint32_t Run) {
   return {json::string_view(Kind),
           json::string(Task.Job.Text),
           Task.Occurrence,
@@ -124,12 +125,12 @@
           Run};
 }
 
-TaskRef readTask(ItemReader &In) {
+TaskRef readTaskRef(ItemReader &Reader) {
   TaskRef Task;
-  Task.Job = JobId(In.text());
-  Task.Occurrence = In.number<unsigned>();
-  Task.Step = In.number<unsigned>();
-  Task.Index = In.number<unsigned>();
+  Task.Job = JobId(Reader.text());
+  Task.Occurrence = Reader.number<unsigned>();
+  Task.Step = Reader.number<unsigned>();
+  Task.Index = Reader.number<unsigned>();
   return Task;
 }
 
@@ -142,76 +143,76 @@
           specArray(Event.Spec)};
 }
 
-JobAccepted readAccepted(ItemReader &In) {
+JobAccepted readAccepted(ItemReader &Reader) {
   JobAccepted Event;
-  Event.Job = JobId(In.text());
-  Event.Queue = QueueName(In.text());
-  Event.Pool = PoolName(In.text());
-  Event.At = WallTime(Duration(In.number<std::int64_t>()));
-  Event.Spec = readSpec(In.next());
+  Event.Job = JobId(Reader.text());
+  Event.Queue = QueueName(Reader.text());
+  Event.Pool = PoolName(Reader.text());
+  Event.At = WallTime(Duration(Reader.number<std::int64_t>()));
+  Event.Spec = readSpec(Reader.next());
   return Event;
 }
 
-json::array recordArray(const TaskRecord &Task) {
+json::array taskRecordArray(const TaskRecord &Task) {
   return {static_cast<int>(Task.Phase),
           Task.Run,
           Task.Failures,
-          Task.FailedRun,
+          Task.LastFailedRun,
           json::string(Task.Worker.Id),
           Task.Worker.Born,
           json::string(Task.Checkpoint)};
 }
 
-TaskRecord readRecord(const json::value &From) {
-  ItemReader In(From);
+TaskRecord readTaskRecord(const json::value &Value) {
+  ItemReader Reader(Value);
   TaskRecord Task;
-  Task.Phase = static_cast<TaskPhase>(In.number<int>());
-  Task.Run = In.number<std::uint32_t>();
-  Task.Failures = In.number<std::uint32_t>();
-  Task.FailedRun = In.number<std::uint32_t>();
-  Task.Worker.Id = In.text();
-  Task.Worker.Born = In.number<std::int64_t>();
-  Task.Checkpoint = In.text();
+  Task.Phase = static_cast<TaskPhase>(Reader.number<int>());
+  Task.Run = Reader.number<std::uint32_t>();
+  Task.Failures = Reader.number<std::uint32_t>();
+  Task.LastFailedRun = Reader.number<std::uint32_t>();
+  Task.Worker.Id = Reader.text();
+  Task.Worker.Born = Reader.number<std::int64_t>();
+  Task.Checkpoint = Reader.text();
   return Task;
 }
 
 json::array snapshotArray(const JobSnapshot &Event) {
   json::array Occurrences;
-  for (const auto &[Number, Steps] : Event.Occurrences) {
+  for (const auto &[OccurrenceIndex, Steps] : Event.Occurrences) {
     json::array StepList;
     for (const StepRecord &Tasks : Steps) {
       json::array TaskList;
       for (const TaskRecord &Task : Tasks) {
-        TaskList.push_back(recordArray(Task));
+        TaskList.push_back(taskRecordArray(Task));
       }
       StepList.push_back(std::move(TaskList));
     }
-    Occurrences.push_back(json::array{Number, std::move(StepList)});
+    Occurrences.push_back(json::array{OccurrenceIndex, std::move(StepList)});
   }
   return {"s",
           acceptedArray(Event.Accepted),
           static_cast<int>(Event.State),
           Event.ClosedAt.time_since_epoch().count(),
-          Event.Begun,
+          Event.EverPlaced,
           std::move(Occurrences)};
 }
 
-JobSnapshot readSnapshot(ItemReader &In) {
+JobSnapshot readSnapshot(ItemReader &Reader) {
   JobSnapshot Event;
-  ItemReader Accepted(In.next());
-  Accepted.next();
-  Event.Accepted = readAccepted(Accepted);
-  Event.State = static_cast<JobState>(In.number<int>());
-  Event.ClosedAt = WallTime(Duration(In.number<std::int64_t>()));
-  Event.Begun = In.next().as_bool();
-  for (const json::value &Each : In.next().as_array()) {
-    ItemReader Occurrence(Each);
-    const auto Number = Occurrence.number<unsigned>();
-    OccurrenceRecord &Steps = Event.Occurrences[Number];
-    for (const json::value &Tasks : Occurrence.next().as_array()) {
+  ItemReader AcceptedReader(Reader.next());
+  AcceptedReader.next();
+  Event.Accepted = readAccepted(AcceptedReader);
+  Event.State = static_cast<JobState>(Reader.number<int>());
+  Event.ClosedAt = WallTime(Duration(Reader.number<std::int64_t>()));
+  Event.EverPlaced = Reader.next().as_bool();
+  for (const json::value &OccurrenceItem : Reader.next().as_array()) {
+    ItemReader OccurrenceReader(OccurrenceItem);
+    const auto OccurrenceIndex = OccurrenceReader.number<unsigned>();
+    OccurrenceRecord &Steps = Event.Occurrences[OccurrenceIndex];
+    for (const json::value &Tasks : OccurrenceReader.next().as_array()) {
       StepRecord &Step = Steps.emplace_back();
       for (const json::value &Task : Tasks.as_array()) {
-        Step.push_back(readRecord(Task));
+        Step.push_back(readTaskRecord(Task));
       }
     }
   }
@@ -223,21 +224,21 @@
     return acceptedArray(Event);
   }
   json::array operator()(const TaskPlaced &Event) const {
-    json::array Out = taskArray("p", Event.Task, Event.Run);
-    Out.emplace_back(Event.Worker.Id);
-    Out.emplace_back(Event.Worker.Born);
-    return Out;
+    json::array Fields = taskEventArray("p", Event.Task, Event.Run);
+    Fields.emplace_back(Event.Worker.Id);
+    Fields.emplace_back(Event.Worker.Born);
+    return Fields;
   }
   json::array operator()(const TaskEnded &Event) const {
-    json::array Out = taskArray("e", Event.Task, Event.Run);
-    Out.emplace_back(static_cast<int>(Event.How));
-    Out.emplace_back(Event.Checkpoint);
-    return Out;
+    json::array Fields = taskEventArray("e", Event.Task, Event.Run);
+    Fields.emplace_back(static_cast<int>(Event.How));
+    Fields.emplace_back(Event.Checkpoint);
+    return Fields;
   }
   json::array operator()(const CheckpointSaved &Event) const {
-    json::array Out = taskArray("c", Event.Task, Event.Run);
-    Out.emplace_back(Event.Checkpoint);
-    return Out;
+    json::array Fields = taskEventArray("c", Event.Task, Event.Run);
+    Fields.emplace_back(Event.Checkpoint);
+    return Fields;
   }
   json::array operator()(const JobClosed &Event) const {
     return {"z", json::string(Event.Job.Text), static_cast<int>(Event.State),
@@ -251,68 +252,68 @@
   }
 };
 
-JobEvent readTaskEvent(char Kind, ItemReader &In) {
-  const TaskRef Task = readTask(In);
-  const auto Run = In.number<std::uint32_t>();
+JobEvent readTaskEvent(char Kind, ItemReader &Reader) {
+  const TaskRef Task = readTaskRef(Reader);
+  const auto Run = Reader.number<std::uint32_t>();
   if (Kind == 'p') {
     TaskPlaced Event{Task, Run, {}};
-    Event.Worker.Id = In.text();
-    Event.Worker.Born = In.number<std::int64_t>();
+    Event.Worker.Id = Reader.text();
+    Event.Worker.Born = Reader.number<std::int64_t>();
     return Event;
   }
   if (Kind == 'e') {
-    const auto How = static_cast<RunEnd>(In.number<int>());
-    return TaskEnded{Task, Run, How, In.text()};
+    const auto End = static_cast<RunEnd>(Reader.number<int>());
+    return TaskEnded{Task, Run, End, Reader.text()};
   }
-  return CheckpointSaved{Task, Run, In.text()};
+  return CheckpointSaved{Task, Run, Reader.text()};
 }
 
-JobEvent readEvent(const json::value &From) {
-  ItemReader In(From);
-  const std::string Kind = In.text();
+JobEvent readEvent(const json::value &Value) {
+  ItemReader Reader(Value);
+  const std::string Kind = Reader.text();
   if (Kind == "a") {
-    return readAccepted(In);
+    return readAccepted(Reader);
   }
   if (Kind == "z") {
     JobClosed Event;
-    Event.Job = JobId(In.text());
-    Event.State = static_cast<JobState>(In.number<int>());
-    Event.At = WallTime(Duration(In.number<std::int64_t>()));
+    Event.Job = JobId(Reader.text());
+    Event.State = static_cast<JobState>(Reader.number<int>());
+    Event.At = WallTime(Duration(Reader.number<std::int64_t>()));
     return Event;
   }
   if (Kind == "f") {
-    return JobForgotten{JobId(In.text())};
+    return JobForgotten{JobId(Reader.text())};
   }
   if (Kind == "s") {
-    return readSnapshot(In);
+    return readSnapshot(Reader);
   }
   if (Kind == "p" || Kind == "e" || Kind == "c") {
-    return readTaskEvent(Kind.front(), In);
+    return readTaskEvent(Kind.front(), Reader);
   }
-  throw std::invalid_argument(absl::StrCat("unknown kind of event ", Kind));
+  throw std::invalid_argument(absl::StrCat("unknown event kind ", Kind));
 }
 
 } // namespace
 
 std::string encodeEvents(const std::vector<JobEvent> &Events) {
-  json::array Out;
-  Out.reserve(Events.size());
+  json::array EventArray;
+  EventArray.reserve(Events.size());
   for (const JobEvent &Event : Events) {
-    Out.push_back(std::visit(Encoder{}, Event));
+    EventArray.push_back(std::visit(Encoder{}, Event));
   }
-  return json::serialize(Out);
+  return json::serialize(EventArray);
 }
 
 absl::StatusOr<std::vector<JobEvent>> decodeEvents(std::string_view Text) {
   std::vector<JobEvent> Events;
   try {
-    const json::value Parsed = json::parse(json::string_view(Text));
-    for (const json::value &Each : Parsed.as_array()) {
-      Events.push_back(readEvent(Each));
+    const json::value Document = json::parse(json::string_view(Text));
+    for (const json::value &EventItem : Document.as_array()) {
+      Events.push_back(readEvent(EventItem));
     }
-  } catch (const std::exception &Fault) {
-    return absl::DataLossError(absl::StrCat("event ", Events.size(),
-                                            " can't be read: ", Fault.what()));
+  } catch (const std::exception &Error) {
+    return absl::DataLossError(absl::StrCat("cannot decode event ",
+                                            Events.size(), ": ", Error.what()));
   }
   return Events;
 }
@@ -324,9 +325,9 @@
 absl::StatusOr<JobSpec> decodeSpec(std::string_view Text) {
   try {
     return readSpec(json::parse(json::string_view(Text)));
-  } catch (const std::exception &Fault) {
+  } catch (const std::exception &Error) {
     return absl::InvalidArgumentError(
-        absl::StrCat("the job can't be read: ", Fault.what()));
+        absl::StrCat("cannot decode the job specification: ", Error.what()));
   }
 }
 
--- a/Source/Jobs/include/balsamlatch/Jobs/JobBook.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobBook.h
@@ -1,6 +1,7 @@
 /// \file
-/// The jobs and what has become of their tasks: a state machine over recorded
-/// events. The same events give the same book on every host.
+/// In-memory state of all jobs and their tasks: a deterministic state machine
+/// over the events of the journal. The same events produce the same state on
+/// every host.
 
 #ifndef BALSAMLATCH_JOBS_JOBBOOK_H
 #define BALSAMLATCH_JOBS_JOBBOOK_H
@@ -12,65 +13,74 @@
 
 namespace balsamlatch::jobs {
 
+/// The state of one job, with counters derived from its tasks.
 struct Job {
   JobSnapshot Record;
-  /// Sequence number of the oldest journal record that still matters to the
+  /// Sequence number of the oldest journal record that is needed to rebuild the
   /// job.
   std::uint64_t FirstRecord = 0;
-  // Invariant: tasks of all occurrences that are not Done.
+  /// Invariant: number of tasks over all occurrences that are not Done.
   std::uint64_t OpenTasks = 0;
-  /// Tasks that are Placed.
+  /// Invariant: number of tasks that are Placed.
   unsigned PlacedTasks = 0;
 
   const JobSpec &spec() const { return Record.Accepted.Spec; }
   const JobId &id() const { return Record.Accepted.Job; }
   bool open() const { return !isFinal(Record.State); }
-  /// Final, and nothing of it can still run.
+  /// Whether the state is final and no task can still run.
   bool settled() const { return !open() && PlacedTasks == 0; }
-  /// Replaces the job's events. Of a settled job only its state remains.
+  /// A snapshot that replaces the job's earlier journal records. The snapshot
+  /// of a settled job holds only its identity and state.
   JobSnapshot snapshot() const;
 
-  /// Whether all steps that \p Step waits for are done.
+  /// Whether all steps that \p Step depends on are done.
   bool ready(unsigned Occurrence, unsigned Step) const;
+  /// The time at which an occurrence may start: its time in the schedule, or
+  /// the acceptance time of a job without a schedule.
   WallTime dueAt(unsigned Occurrence) const;
+  /// The state of a task; null if it is out of range or if its occurrence has
+  /// no records yet.
   const TaskRecord *find(const TaskRef &Task) const;
-  /// Largest number of failed runs of a task, or of a gang together.
+  /// The largest failure count of any task; the members of a gang are summed.
   std::uint32_t worstFailures() const;
 };
 
+/// All jobs by ID.
 class JobBook {
 public:
-  /// Applies one event that the journal holds at \p Sequence. Events about
-  /// unknown jobs, or runs that are not the task's present one, change
-  /// nothing.
+  /// Applies one event from the journal record \p Sequence. Events for unknown
+  /// jobs and for superseded runs are ignored.
   void apply(const JobEvent &Event, std::uint64_t Sequence);
 
   const Job *find(const JobId &Id) const;
-  const std::unordered_map<JobId, Job> &jobs() const { return All; }
+  const std::unordered_map<JobId, Job> &jobs() const { return JobsById; }
 
-  /// Accepted jobs of a queue of which no task has been placed yet, jobs with
-  /// a schedule aside.
+  /// Number of open jobs of a queue that have never had a task placed. Jobs
+  /// with a schedule don't count.
   unsigned pendingCount(const QueueName &Queue) const;
 
-  /// The sequence number before which no job needs the journal; \p Next when
-  /// there is no job.
-  std::uint64_t oldestNeeded(std::uint64_t Next) const;
+  /// Sequence number of the oldest journal record that any job needs; records
+  /// before it can be deleted. \p NextSequence if there is no job.
+  std::uint64_t oldestNeeded(std::uint64_t NextSequence) const;
 
 private:
-  void take(const JobAccepted &Event, std::uint64_t Sequence);
-  void take(const TaskPlaced &Event, std::uint64_t Sequence);
-  void take(const TaskEnded &Event, std::uint64_t Sequence);
-  void take(const CheckpointSaved &Event, std::uint64_t Sequence);
-  void take(const JobClosed &Event, std::uint64_t Sequence);
-  void take(const JobForgotten &Event, std::uint64_t Sequence);
-  void take(const JobSnapshot &Event, std::uint64_t Sequence);
+  void applyEvent(const JobAccepted &Event, std::uint64_t Sequence);
+  void applyEvent(const TaskPlaced &Event, std::uint64_t Sequence);
+  void applyEvent(const TaskEnded &Event, std::uint64_t Sequence);
+  void applyEvent(const CheckpointSaved &Event, std::uint64_t Sequence);
+  void applyEvent(const JobClosed &Event, std::uint64_t Sequence);
+  void applyEvent(const JobForgotten &Event, std::uint64_t Sequence);
+  void applyEvent(const JobSnapshot &Event, std::uint64_t Sequence);
 
   Job *findMutable(const JobId &Id);
-  TaskRecord *findTask(Job &Owner, const TaskRef &Task);
-  void countPending(const Job &Which, int Change);
-
-  std::unordered_map<JobId, Job> All;
-  std::unordered_map<QueueName, unsigned> Pending;
+  /// The state of a task, created with its occurrence on first use; null if it
+  /// is out of range.
+  TaskRecord *findTask(Job &ParentJob, const TaskRef &Task);
+  /// Adds \p Delta to the pending count of the queue if the job is pending.
+  void adjustPendingCount(const Job &Candidate, int Delta);
+
+  std::unordered_map<JobId, Job> JobsById;
+  std::unordered_map<QueueName, unsigned> PendingCounts;
 };
 
 } // namespace balsamlatch::jobs
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -1,6 +1,6 @@
 /// \file
-/// What happens to jobs, as recorded in the journal. A JobBook is the result
-/// of applying all events in order.
+/// Job events as recorded in the journal. Applying all events in order to a
+/// JobBook rebuilds the state of the jobs.
 
 #ifndef BALSAMLATCH_JOBS_JOBEVENTS_H
 #define BALSAMLATCH_JOBS_JOBEVENTS_H
@@ -18,12 +18,12 @@
 
 namespace balsamlatch::jobs {
 
-/// A job's ID, chosen by its caller.
+/// A job ID; the caller chooses it.
 using JobId = Name<struct JobIdTag>;
 
 using QueueName = Name<struct QueueTag>;
 
-/// One task: an index in a step of one occurrence of a job.
+/// Identifies a task by its job, occurrence, step and index in the step.
 struct TaskRef {
   JobId Job;
   unsigned Occurrence = 0;
@@ -33,13 +33,14 @@
   auto operator<=>(const TaskRef &) const = default;
 };
 
-/// Where a task stands in its job: OCCURRENCE.STEP.INDEX.
+/// The position of a task in its job as text: OCCURRENCE.STEP.INDEX.
 std::string placeOf(const TaskRef &Task);
 
-/// One life of a worker process: a restart under the same ID is another life.
+/// One instance of a worker process. A restart under the same ID is another
+/// instance.
 struct WorkerLife {
   std::string Id;
-  /// Unix milliseconds of the start; 0 while unknown.
+  /// Start time in Unix milliseconds; 0 while unknown.
   std::int64_t Born = 0;
 
   auto operator<=>(const WorkerLife &) const = default;
@@ -48,26 +49,27 @@
 /// How a run of a task ended.
 enum class RunEnd {
   Done,
-  /// By the fault of the task or its worker.
+  /// The task or its worker failed.
   Failed,
-  /// Stopped on our order.
+  /// Stopped by a stop order of the dispatcher.
   Stopped,
-  /// The worker's lease ran out, or its life ended.
+  /// The worker's lease expired, or the worker process ended.
   Lost,
-  /// Another member of the gang ended, or didn't come.
+  /// Another member of the gang ended or did not start.
   GangBroken,
-  /// The worker refused the start; nothing ran.
+  /// The worker refused the start order; nothing ran.
   Refused,
 };
 
 enum class JobState { Queued, Running, Completed, Failed, Cancelled };
 
-/// A state in which nothing of the job runs any more.
+/// Whether the state is final, that is, the job's last one.
 constexpr bool isFinal(JobState State) {
   return State == JobState::Completed || State == JobState::Failed ||
          State == JobState::Cancelled;
 }
 
+/// The job was accepted at the time At.
 struct JobAccepted {
   JobId Job;
   QueueName Queue;
@@ -78,8 +80,8 @@
   auto operator<=>(const JobAccepted &) const = default;
 };
 
-/// A run is about to be ordered. Recorded before the order leaves, so that a
-/// later holder knows where the task may run.
+/// A run was assigned to a worker. Recorded before the start order is sent, so
+/// that the next holder of the lease knows where the task may be running.
 struct TaskPlaced {
   TaskRef Task;
   std::uint32_t Run = 0;
@@ -88,16 +90,18 @@
   auto operator<=>(const TaskPlaced &) const = default;
 };
 
+/// A run ended.
 struct TaskEnded {
   TaskRef Task;
   std::uint32_t Run = 0;
   RunEnd How = RunEnd::Lost;
-  /// Newest checkpoint; empty for none.
+  /// The newest checkpoint; empty for none.
   std::string Checkpoint;
 
   auto operator<=>(const TaskEnded &) const = default;
 };
 
+/// A running task reported a new checkpoint.
 struct CheckpointSaved {
   TaskRef Task;
   std::uint32_t Run = 0;
@@ -106,7 +110,7 @@
   auto operator<=>(const CheckpointSaved &) const = default;
 };
 
-/// The job has reached a final state.
+/// The job reached a final state at the time At.
 struct JobClosed {
   JobId Job;
   JobState State = JobState::Completed;
@@ -115,7 +119,7 @@
   auto operator<=>(const JobClosed &) const = default;
 };
 
-/// The job's state need not be known any longer.
+/// The job was removed because its retention time ended.
 struct JobForgotten {
   JobId Job;
 
@@ -124,31 +128,35 @@
 
 enum class TaskPhase { Waiting, Placed, Done };
 
-/// What is known of one task. Invariant: Worker is set while Placed.
+/// The state of one task. Invariant: Worker is set while Phase is Placed.
 struct TaskRecord {
   TaskPhase Phase = TaskPhase::Waiting;
-  /// Highest run number used; 0 before the first.
+  /// The highest run number used; 0 before the first run.
   std::uint32_t Run = 0;
+  /// Number of failed runs. A failure of a gang is counted in one member only.
   std::uint32_t Failures = 0;
-  /// The last run that failed; 0 for none.
-  std::uint32_t FailedRun = 0;
+  /// Number of the last failed run; 0 for none.
+  std::uint32_t LastFailedRun = 0;
   WorkerLife Worker;
   std::string Checkpoint;
 
   auto operator<=>(const TaskRecord &) const = default;
 };
 
+/// The state of one step, by task index.
 using StepRecord = std::vector<TaskRecord>;
 
-/// The steps of one occurrence.
+/// The state of one occurrence, by step.
 using OccurrenceRecord = std::vector<StepRecord>;
 
-/// All that is known of one job; replaces its earlier events.
+/// The whole state of one job. Replaces its earlier events in the journal.
 struct JobSnapshot {
   JobAccepted Accepted;
   JobState State = JobState::Queued;
   WallTime ClosedAt{};
-  bool Begun = false;
+  /// Whether a task of the job was ever placed.
+  bool EverPlaced = false;
+  /// By occurrence index; occurrences without a placed task are absent.
   std::map<unsigned, OccurrenceRecord> Occurrences;
 
   auto operator<=>(const JobSnapshot &) const = default;
@@ -158,7 +166,7 @@
     std::variant<JobAccepted, TaskPlaced, TaskEnded, CheckpointSaved, JobClosed,
                  JobForgotten, JobSnapshot>;
 
-/// The job that an event is about.
+/// The ID of the job that an event belongs to.
 const JobId &jobOf(const JobEvent &Event);
 
 } // namespace balsamlatch::jobs
@@ -167,8 +175,8 @@
   std::size_t
   operator()(const balsamlatch::jobs::TaskRef &Task) const noexcept {
     std::size_t Hash = std::hash<std::string>()(Task.Job.Text);
-    for (const unsigned Part : {Task.Occurrence, Task.Step, Task.Index}) {
-      Hash = Hash * 1'000'003U + Part;
+    for (const unsigned Component : {Task.Occurrence, Task.Step, Task.Index}) {
+      Hash = Hash * 1'000'003U + Component;
     }
     return Hash;
   }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -1,6 +1,6 @@
 /// \file
-/// What a caller submits: a job of steps, each a number of like tasks. Values
-/// only; what has become of a job is in JobBook.h.
+/// The specification of a job as a caller submits it: steps of identical tasks
+/// and an optional schedule. JobBook.h holds the state of submitted jobs.
 
 #ifndef BALSAMLATCH_JOBS_JOBSPEC_H
 #define BALSAMLATCH_JOBS_JOBSPEC_H
@@ -15,21 +15,22 @@
 
 namespace balsamlatch::jobs {
 
-/// Most tasks of one job, over all its steps. Bounds the memory that one
-/// request can claim.
+/// Maximum number of tasks per job, over all its steps. Limits the memory that
+/// one request can allocate.
 inline constexpr unsigned MaxTasksPerJob = 20'000;
 inline constexpr std::size_t MaxStepsPerJob = 256;
 inline constexpr std::size_t MaxSpecTextBytes = 4'000;
 
-/// An amount of what a worker has to give.
+/// An amount of worker resources: processor time in thousandths of a core,
+/// memory in megabytes and a number of GPUs.
 struct Resources {
   std::int64_t CpuMilli = 0;
   std::int64_t MemoryMb = 0;
   std::int64_t Gpus = 0;
 
-  bool fitsInto(const Resources &Room) const {
-    return CpuMilli <= Room.CpuMilli && MemoryMb <= Room.MemoryMb &&
-           Gpus <= Room.Gpus;
+  bool fitsInto(const Resources &Capacity) const {
+    return CpuMilli <= Capacity.CpuMilli && MemoryMb <= Capacity.MemoryMb &&
+           Gpus <= Capacity.Gpus;
   }
   Resources &operator+=(const Resources &Other) {
     CpuMilli += Other.CpuMilli;
@@ -46,42 +47,47 @@
   auto operator<=>(const Resources &) const = default;
 };
 
+/// A step: Count identical tasks with the same requirements.
 struct StepSpec {
   unsigned Count = 1;
-  /// What each task claims on its worker.
+  /// Resources that each task reserves on its worker.
   Resources Need;
-  /// The caller's guess of a task's run time; often far off.
+  /// The caller's estimate of a task's run time; often inaccurate.
   Duration Estimate{};
-  /// Earlier steps whose tasks must all be done first.
+  /// Indexes of the earlier steps that must be done before this one starts.
   std::vector<unsigned> After;
-  /// The worker must carry this label; empty for any.
+  /// A label that the worker must have; empty for any worker.
   std::string RequiredLabel;
-  /// Rack on which the task runs fastest; empty for none.
+  /// The rack on which the tasks run fastest; empty for none.
   std::string PreferredRack;
-  /// Most tasks of the step on one worker; 0 for no bound.
+  /// Maximum number of the step's tasks on one worker; 0 for no limit.
   unsigned MaxPerWorker = 0;
-  /// Tasks must be unavailable by our doing at most this many at a time;
-  /// 0 for no bound.
+  /// Maximum number of tasks that may be unavailable at a time because of moves
+  /// or maintenance; 0 for no limit.
   unsigned MaxUnavailable = 0;
-  /// Largest tail of the response times of a lasting task.
+  /// Upper limit for the tail latency of a lasting task's responses.
   Duration TailObjective{};
-  /// What the tasks execute; tasks of one image behave alike.
+  /// The image that the tasks execute; tasks with the same image are expected
+  /// to perform alike.
   std::string Image;
+  /// The tasks save checkpoints, from which a later run continues.
   bool Checkpoints = false;
-  /// All tasks run together or not at all.
+  /// All tasks run at the same time or not at all.
   bool Gang = false;
+  /// All tasks run on workers of one rack.
   bool SameRack = false;
-  /// Copies of a task may run side by side.
+  /// Several copies of a task may run concurrently.
   bool Speculative = false;
   /// Runs until the job is cancelled.
   bool Lasting = false;
-  /// Uses processor time that others leave; its CPU claims no room.
+  /// Uses only idle processor time; Need.CpuMilli reserves no capacity.
   bool Filler = false;
 
   auto operator<=>(const StepSpec &) const = default;
 };
 
-/// Repetitions of a job; Repeats is 0 for a job that runs once, at once.
+/// The schedule of a repeated job. Repeats is 0 for a job that runs once,
+/// immediately.
 struct Schedule {
   unsigned Repeats = 0;
   WallTime First{};
@@ -90,25 +96,29 @@
   auto operator<=>(const Schedule &) const = default;
 };
 
+/// A submitted job.
 struct JobSpec {
-  /// Handed to the workers as it is.
+  /// Passed to the workers unchanged.
   std::string Text;
   std::vector<StepSpec> Steps;
   Schedule Times;
 
-  /// How often the steps run.
+  /// How many times the steps run.
   unsigned occurrences() const {
     return Times.Repeats == 0 ? 1 : Times.Repeats;
   }
+  /// Whether any step is lasting.
   bool lasting() const;
 
   auto operator<=>(const JobSpec &) const = default;
 };
 
-/// InvalidArgument names the first step that can't be carried out.
+/// Checks the limits and the dependencies of the steps. The InvalidArgument
+/// message names the first violation.
 absl::Status validate(const JobSpec &Spec);
 
-/// The estimate of the longest chain of steps.
+/// The estimated length of the critical path: the longest chain of dependent
+/// steps.
 Duration estimatedChain(const JobSpec &Spec);
 
 } // namespace balsamlatch::jobs
--- a/Source/Jobs/include/balsamlatch/Jobs/JournalCodec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JournalCodec.h
@@ -1,6 +1,6 @@
 /// \file
-/// Text form of journal records: a JSON array of events. Also the text form of
-/// a job, which entries hand to each other.
+/// JSON encoding of journal records, each an array of events, and of job
+/// specifications, which entries send to each other.
 
 #ifndef BALSAMLATCH_JOBS_JOURNALCODEC_H
 #define BALSAMLATCH_JOBS_JOURNALCODEC_H
@@ -16,12 +16,12 @@
 
 std::string encodeEvents(const std::vector<JobEvent> &Events);
 
-/// DataLoss names the first event that can't be read.
+/// Returns DataLoss with the index of the first event that cannot be decoded.
 absl::StatusOr<std::vector<JobEvent>> decodeEvents(std::string_view Text);
 
 std::string encodeSpec(const JobSpec &Spec);
 
-/// InvalidArgument if the text is not a job.
+/// Returns InvalidArgument if the text is not a job specification.
 absl::StatusOr<JobSpec> decodeSpec(std::string_view Text);
 
 } // namespace balsamlatch::jobs
