--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// What the platform writes, good and bad, and what the adapter makes of it.
+/// Tests of the platform adapter's JSON codec and settings parser with valid
+/// and invalid input.
 
 #define BOOST_TEST_MODULE PlatformAdapter
-#include "Decode.h"
+#include "Codec.h"
 #include "Settings.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +12,7 @@
 using namespace balsamlatch::platform;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(AJobIsReadWhole) {
+BOOST_AUTO_TEST_CASE(JobIsDecoded) {
   const auto Job = decodeJob(
       R"({"spec":"s","steps":[{"count":2,"cpu":500,"mem_mb":64,"gpus":1,)"
       R"("estimated_ms":900,"checkpointing":true,"requirements":"a",)"
@@ -20,26 +21,26 @@
       R"("image":"i","gang":true,"same_rack":true,"speculative":true}],)"
       R"("repeat_count":3,"first_run_ms":1000,"interval_ms":500})");
   BOOST_REQUIRE(Job.ok());
-  const jobs::StepSpec &First = Job->Steps[0];
-  BOOST_TEST(First.Count == 2);
-  BOOST_TEST((First.Need == jobs::Resources{500, 64, 1}));
-  BOOST_TEST((First.Estimate == 900ms));
-  BOOST_TEST(First.Checkpoints);
-  BOOST_TEST(First.RequiredLabel == "a");
-  BOOST_TEST(First.PreferredRack == "r1");
-  BOOST_TEST(First.MaxPerWorker == 1);
-  const jobs::StepSpec &Second = Job->Steps[1];
-  BOOST_TEST((Second.After == std::vector<unsigned>{0}));
-  BOOST_TEST((Second.Lasting && Second.Filler && Second.Gang &&
-              Second.SameRack && Second.Speculative));
-  BOOST_TEST(Second.MaxUnavailable == 2);
-  BOOST_TEST((Second.TailObjective == 40ms));
+  const jobs::StepSpec &FirstStep = Job->Steps[0];
+  BOOST_TEST(FirstStep.Count == 2);
+  BOOST_TEST((FirstStep.Need == jobs::Resources{500, 64, 1}));
+  BOOST_TEST((FirstStep.Estimate == 900ms));
+  BOOST_TEST(FirstStep.Checkpoints);
+  BOOST_TEST(FirstStep.RequiredLabel == "a");
+  BOOST_TEST(FirstStep.PreferredRack == "r1");
+  BOOST_TEST(FirstStep.MaxPerWorker == 1);
+  const jobs::StepSpec &SecondStep = Job->Steps[1];
+  BOOST_TEST((SecondStep.After == std::vector<unsigned>{0}));
+  BOOST_TEST((SecondStep.Lasting && SecondStep.Filler && SecondStep.Gang &&
+              SecondStep.SameRack && SecondStep.Speculative));
+  BOOST_TEST(SecondStep.MaxUnavailable == 2);
+  BOOST_TEST((SecondStep.TailObjective == 40ms));
   BOOST_TEST(Job->Times.Repeats == 3);
   BOOST_TEST((Job->Times.First == WallTime(1s)));
 }
 
-BOOST_AUTO_TEST_CASE(BadJobsAreTurnedAwayWithAReason) {
-  for (const char *Bad :
+BOOST_AUTO_TEST_CASE(InvalidJobsAreRejectedWithAMessage) {
+  for (const char *InvalidJob :
        {"", "{", "[]", "7", R"({"spec":"s"})", R"({"spec":"s","steps":[]})",
         R"({"spec":1,"steps":[{"count":1}]})",
         R"({"spec":"s","steps":[{"count":0}]})",
@@ -51,33 +52,35 @@
         R"({"spec":"s","steps":[{"count":1,"cpu":"much"}]})",
         R"({"spec":"s","steps":[{"count":1,"estimated_ms":1e300}]})",
         R"({"spec":"s","steps":{"count":1}})"}) {
-    const auto Job = decodeJob(Bad);
-    BOOST_TEST(!Job.ok(), Bad);
+    const auto Job = decodeJob(InvalidJob);
+    BOOST_TEST(!Job.ok(), InvalidJob);
     BOOST_TEST(!Job.status().message().empty());
   }
 }
 
-BOOST_AUTO_TEST_CASE(RegistrationsOfAnotherWriterNameNoWorker) {
-  const std::string Good =
+// Keys below the registration prefix can hold values of other writers.
+BOOST_AUTO_TEST_CASE(InvalidRegistrationsAreRejected) {
+  const std::string ValidRegistration =
       R"({"service":"p","address":"10.0.0.1:80","zone":"z","state":"ready",)"
       R"("capacity":{"cpu":1,"mem_mb":2,"gpus":0},"labels":["a"],"born":5})";
-  const auto Worker = decodeWorker("i-1", Good);
+  const auto Worker = decodeWorker("i-1", ValidRegistration);
   BOOST_REQUIRE(Worker.ok());
   BOOST_TEST(Worker->Address.Port == 80);
   BOOST_TEST(Worker->Life.Born == 5);
   for (
-      const char *Bad :
+      const char *InvalidRegistration :
       {"", "\xff\xfe", "null", "{}",
        R"({"service":"p","address":"10.0.0.1","state":"ready","capacity":{},"born":5})",
        R"({"service":"p","address":"10.0.0.1:80","state":"odd","capacity":{},"born":5})",
        R"({"service":7,"address":"10.0.0.1:80","state":"ready","capacity":{},"born":5})",
        R"({"service":"p","address":"10.0.0.1:80","state":"ready","born":5})",
        R"({"service":"p","address":"10.0.0.1:80","state":"ready","capacity":{}})"}) {
-    BOOST_TEST(!decodeWorker("i-1", Bad).ok(), Bad);
+    BOOST_TEST(!decodeWorker("i-1", InvalidRegistration).ok(),
+               InvalidRegistration);
   }
 }
 
-BOOST_AUTO_TEST_CASE(TheLongestPrefixOfTheHostWins) {
+BOOST_AUTO_TEST_CASE(LongestMatchingPrefixSelectsTheQueue) {
   const auto Config = decodeConfig(
       R"({"version":7,"routes":[)"
       R"({"name":"a","host":"h","prefix":"/x/","service":"p","timeout_ms":3000},)"
@@ -97,7 +100,7 @@
   BOOST_TEST(!decodeConfig("{\"routes\":[]}").ok());
 }
 
-BOOST_AUTO_TEST_CASE(AQueuesPolicyAndItsPermitsAreRead) {
+BOOST_AUTO_TEST_CASE(PlacementPolicyAndPermitsAreDecoded) {
   const auto Config = decodeConfig(
       R"({"version":1,"routes":[{"name":"a","host":"h","prefix":"/x/",)"
       R"("service":"p","advice":{"decision_ms":40,"per_worker_ms":2.5,)"
@@ -117,38 +120,38 @@
              "5c0e7a21d94b36f8.0.1");
 }
 
-BOOST_AUTO_TEST_CASE(AHoldsAnswerIsRead) {
-  const auto Report =
-      decodeHold(R"({"clock_ms":9,"born":4,"running_tasks":[)"
-                 R"(["5c0e7a21d94b36f8.0.1.17",2,"c",41,7],["odd",1,"",0]],)"
-                 R"("ended_tasks":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],)"
-                 R"([59,"5c0e7a21d94b36f8.0.1.8",1,"lapsed","d"]]})");
+BOOST_AUTO_TEST_CASE(HoldReportIsDecoded) {
+  const auto Report = decodeHoldReport(
+      R"({"clock_ms":9,"born":4,"running_tasks":[)"
+      R"(["5c0e7a21d94b36f8.0.1.17",2,"c",41,7],["odd",1,"",0]],)"
+      R"("ended_tasks":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],)"
+      R"([59,"5c0e7a21d94b36f8.0.1.8",1,"lapsed","d"]]})");
   BOOST_REQUIRE(Report.ok());
   BOOST_TEST(Report->Running.size() == 1);
   BOOST_TEST(Report->Running[0].Task.Index == 17);
   BOOST_TEST(Report->Running[0].Gauge == 7);
   BOOST_TEST((Report->Ended[0].How == jobs::RunEnd::Done));
   BOOST_TEST((Report->Ended[1].How == jobs::RunEnd::Lost));
-  BOOST_TEST(!decodeHold("{\"running_tasks\":[[1]]}").ok());
+  BOOST_TEST(!decodeHoldReport("{\"running_tasks\":[[1]]}").ok());
 }
 
 BOOST_AUTO_TEST_CASE(TaskNamesRoundTrip) {
   const dispatch::TaskRef Task{dispatch::JobId("5c0e7a21d94b36f8"), 3, 1, 17};
   BOOST_TEST((*parseTaskName(taskName(Task)) == Task));
-  for (const char *Bad : {"", "a", "a.1", "a.1.2", "a.1.2.3.4", "a.x.2.3",
-                          "a.1.2.-3", "a.1.2.99999999999"}) {
-    BOOST_TEST(!parseTaskName(Bad).ok(), Bad);
+  for (const char *InvalidName : {"", "a", "a.1", "a.1.2", "a.1.2.3.4",
+                                  "a.x.2.3", "a.1.2.-3", "a.1.2.99999999999"}) {
+    BOOST_TEST(!parseTaskName(InvalidName).ok(), InvalidName);
   }
 }
 
-BOOST_AUTO_TEST_CASE(HostsAndWavesAreRead) {
-  std::string Next;
+BOOST_AUTO_TEST_CASE(HostListAndWaveAreDecoded) {
+  std::string NextPageToken;
   const auto Hosts = decodeHosts(
       R"({"machines":[{"machine":"m","pool":"p","state":"upkeep","zone":"z",)"
       R"("labels":[],"capacity":{"cpu":1},"id":null}],"next_token":"t"})",
-      Next);
+      NextPageToken);
   BOOST_REQUIRE(Hosts.ok());
-  BOOST_TEST(Next == "t");
+  BOOST_TEST(NextPageToken == "t");
   BOOST_TEST((Hosts->front().Status == dispatch::HostStatus::Maintenance));
   const auto Wave =
       decodeWave(R"({"wave":1,"machines":["m"],"duration_s":2.5,"maximum":3})");
@@ -157,33 +160,38 @@
   BOOST_TEST(Wave->MaxAway == 3);
 }
 
-BOOST_AUTO_TEST_CASE(SettingsReportAllThatIsWrong) {
-  const std::string Good = "[entry]\nname = e\ncallers = 10.0.0.1:1\n"
-                           "readiness = 10.0.0.1:2\ninternal = 10.0.0.1:3\n"
-                           "grace = 6\n[store]\naddress = 10.0.0.2:4\n"
-                           "[hosts]\naddress = 10.0.0.3:5\nmove-time = 1.5\n";
-  const ParsedSettings Read = parseSettings("file", Good);
-  BOOST_TEST(!Read.Found.hasErrors());
-  BOOST_TEST((Read.Values.MoveTime == 1500ms));
-  BOOST_TEST(Read.Values.Store.Port == 4);
-  const ParsedSettings Bad = parseSettings(
+BOOST_AUTO_TEST_CASE(SettingsParserReportsAllErrors) {
+  const std::string ValidText =
+      "[entry]\nname = e\ncallers = 10.0.0.1:1\n"
+      "readiness = 10.0.0.1:2\ninternal = 10.0.0.1:3\n"
+      "grace = 6\n[store]\naddress = 10.0.0.2:4\n"
+      "[hosts]\naddress = 10.0.0.3:5\nmove-time = 1.5\n";
+  const ParsedSettings ValidSettings = parseSettings("file", ValidText);
+  BOOST_TEST(!ValidSettings.Problems.hasErrors());
+  BOOST_TEST((ValidSettings.Values.MoveTime == 1500ms));
+  BOOST_TEST(ValidSettings.Values.StoreAddress.Port == 4);
+  const ParsedSettings InvalidSettings = parseSettings(
       "file", "[entry]\nname = e\ncallers = nowhere\ngrace = long\nodd = 1\n");
-  BOOST_TEST(Bad.Found.all().size() >= 6);
+  BOOST_TEST(InvalidSettings.Problems.all().size() >= 6);
 }
 
-BOOST_AUTO_TEST_CASE(SettingsWithoutAValueKeepTheirDefault) {
-  // The platform has no value for bounds that a deployment doesn't use.
-  const ParsedSettings Read = parseSettings(
+BOOST_AUTO_TEST_CASE(EmptySettingsKeepTheirDefaults) {
+  // The platform renders empty values for limits that a deployment does not
+  // use.
+  const ParsedSettings ParseResult = parseSettings(
       "file", "[entry]\nname = e\ncallers = 10.0.0.1:1\n"
               "readiness = 10.0.0.1:2\ninternal = 10.0.0.1:3\n"
               "grace = \ncpu-share = 0.25\n[store]\naddress = 10.0.0.2:4\n"
               "[hosts]\naddress = 10.0.0.2:5\norder-gap = \nmove-time =\n"
               "[advice]\naddress =\n");
-  BOOST_TEST(!Read.Found.hasErrors());
-  BOOST_TEST((Read.Values.Grace == Settings().Grace));
-  BOOST_TEST((Read.Values.HostOrderGap == Settings().HostOrderGap));
-  BOOST_TEST(Read.Values.Advice.Ip.empty());
-  BOOST_TEST(Read.Values.CpuMilli == 250U);
-  // Without its address the store can't be reached.
-  BOOST_TEST(parseSettings("file", "[store]\naddress =\n").Found.hasErrors());
+  BOOST_TEST(!ParseResult.Problems.hasErrors());
+  BOOST_TEST(
+      (ParseResult.Values.StopGracePeriod == Settings().StopGracePeriod));
+  BOOST_TEST((ParseResult.Values.MinHostOrderInterval ==
+              Settings().MinHostOrderInterval));
+  BOOST_TEST(ParseResult.Values.PolicyAddress.Ip.empty());
+  BOOST_TEST(ParseResult.Values.CpuMilli == 250U);
+  // The store's address is required.
+  BOOST_TEST(
+      parseSettings("file", "[store]\naddress =\n").Problems.hasErrors());
 }
