--- a/Source/Control/EntryRegistry.cpp
+++ b/Source/Control/EntryRegistry.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr Duration RegistrationRetryDelay = std::chrono::milliseconds(500);
-/// Covers the store calls that a stronger entry makes to claim leadership.
+/// Covers the store calls that a preferred leader makes to claim leadership.
 constexpr Duration ElectionDelay = std::chrono::milliseconds(300);
-/// An entry counts as stronger from this percentage of the other one's
+/// An entry is a preferred leader from this percentage of this entry's
 /// processor time. Smaller differences don't justify a change of the leader.
-constexpr unsigned StrongerCpuPercent = 150;
+constexpr unsigned PreferredLeaderCpuPercent = 150;
 
 } // namespace
 
@@ -43,11 +43,11 @@
   }
 }
 
-EntryRegistry::EntryRegistry(EventLoop &Runner, LogSink &Sink,
+EntryRegistry::EntryRegistry(EventLoop &CallbackLoop, LogSink &Sink,
                              RecordStore &Backend, EntryRecord SelfRecord,
                              std::string KeyPrefix)
-    : Loop(Runner), Log(Sink), Store(Backend), Self(std::move(SelfRecord)),
-      Prefix(std::move(KeyPrefix)) {}
+    : Loop(CallbackLoop), Log(Sink), Store(Backend),
+      Self(std::move(SelfRecord)), Prefix(std::move(KeyPrefix)) {}
 
 void EntryRegistry::update(const PrefixMirror::Items &ElectionItems) {
   OtherEntries.clear();
@@ -83,10 +83,10 @@
   });
 }
 
-bool EntryRegistry::isStronger(const EntryRecord &Other) const {
+bool EntryRegistry::isPreferredLeader(const EntryRecord &Other) const {
   constexpr std::uint64_t HundredPercent = 100;
   return Other.CpuMilli * HundredPercent >=
-             std::uint64_t{Self.CpuMilli} * StrongerCpuPercent &&
+             std::uint64_t{Self.CpuMilli} * PreferredLeaderCpuPercent &&
          Other.CpuMilli > Self.CpuMilli;
 }
 
@@ -95,7 +95,7 @@
   const bool ShouldDefer = OtherEntries.empty() ||
                            std::any_of(OtherEntries.begin(), OtherEntries.end(),
                                        [this](const EntryRecord &Entry) {
-                                         return isStronger(Entry);
+                                         return isPreferredLeader(Entry);
                                        });
   return ShouldDefer ? ElectionDelay : Duration::zero();
 }
--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -16,16 +16,17 @@
 
 } // namespace
 
-Holder::Holder(EventLoop &Runner, const Clock &TimeSource, LogSink &Sink,
+Holder::Holder(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
                RecordStore &Backend, WorkerPort &WorkerAdapter,
                PolicyPort &PolicyAdapter, HolderOptions Options)
-    : Loop(Runner), Time(TimeSource), Log(Sink), Store(Backend),
+    : Loop(CallbackLoop), Time(TimeSource), Log(Sink), Store(Backend),
       Workers(WorkerAdapter), Policies(PolicyAdapter),
       Settings(std::move(Options)),
-      ElectionMirror(Runner, Backend, Sink, {Settings.ElectionPrefix},
+      ElectionMirror(CallbackLoop, Backend, Sink, {Settings.ElectionPrefix},
                      [this] { handleElectionChange(); }),
-      Registry(Runner, Sink, Backend, Settings.Self, Settings.EntryPrefix),
-      JobJournal(Runner, TimeSource, Backend, Sink),
+      Registry(CallbackLoop, Sink, Backend, Settings.Self,
+               Settings.EntryPrefix),
+      JobJournal(CallbackLoop, TimeSource, Backend, Sink),
       JobDispatcher(TimeSource, Settings.Dispatch, Sink) {}
 
 Holder::~Holder() = default;
@@ -40,7 +41,7 @@
   const auto LeaderIt = ElectionMirror.items().find(Settings.LeaderKey);
   if (LeaderIt == ElectionMirror.items().end()) {
     KnownLeader.reset();
-    handleVacancy();
+    handleVacantLeadership();
     return;
   }
   if (LeaderIt->second.Revision < LatestToken) {
@@ -76,7 +77,7 @@
          LeaderItem.Revision != Token;
 }
 
-void Holder::handleVacancy() {
+void Holder::handleVacantLeadership() {
   if (State != Following || ElectionDelayed) {
     return;
   }
--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -80,12 +80,12 @@
 
 } // namespace
 
-HostControl::HostControl(EventLoop &Runner, const Clock &TimeSource,
+HostControl::HostControl(EventLoop &CallbackLoop, const Clock &TimeSource,
                          LogSink &Sink, RecordStore &Backend,
                          HostPort &HostAdapter, Holder &Controller,
                          dispatch::HostKeeperOptions Options,
                          WaveReportFormat ReportFormat)
-    : Loop(Runner), Time(TimeSource), Log(Sink), Store(Backend),
+    : Loop(CallbackLoop), Time(TimeSource), Log(Sink), Store(Backend),
       Hosts(HostAdapter), LocalController(Controller),
       WaveReports(std::move(ReportFormat)), Keeper(TimeSource, Options, Sink) {}
 
--- a/Source/Control/JobRouter.cpp
+++ b/Source/Control/JobRouter.cpp
@@ -29,10 +29,11 @@
   }
 };
 
-JobRouter::JobRouter(EventLoop &Runner, const Clock &TimeSource, LogSink &Sink,
-                     Holder &Controller, http::Client &Client)
-    : Loop(Runner), Time(TimeSource), Log(Sink), LocalController(Controller),
-      PeerClient(Client), Finder(Runner, TimeSource, Controller, Client) {}
+JobRouter::JobRouter(EventLoop &CallbackLoop, const Clock &TimeSource,
+                     LogSink &Sink, Holder &Controller, http::Client &Client)
+    : Loop(CallbackLoop), Time(TimeSource), Log(Sink),
+      LocalController(Controller), PeerClient(Client),
+      Finder(CallbackLoop, TimeSource, Controller, Client) {}
 
 void JobRouter::request(JobRequest Request, RequestDeadlines Deadlines,
                         JobService::ReplyCallback Callback) {
--- a/Source/Control/Journal.cpp
+++ b/Source/Control/Journal.cpp
@@ -31,9 +31,9 @@
   unsigned Attempts = 0;
 };
 
-Journal::Journal(EventLoop &Runner, const Clock &TimeSource,
+Journal::Journal(EventLoop &CallbackLoop, const Clock &TimeSource,
                  RecordStore &Backend, LogSink &Sink)
-    : Loop(Runner), Time(TimeSource), Store(Backend), Log(Sink) {}
+    : Loop(CallbackLoop), Time(TimeSource), Store(Backend), Log(Sink) {}
 
 Journal::~Journal() { stop(); }
 
--- a/Source/Control/LeaderFinder.cpp
+++ b/Source/Control/LeaderFinder.cpp
@@ -53,9 +53,9 @@
   }
 }
 
-LeaderFinder::LeaderFinder(EventLoop &Runner, const Clock &TimeSource,
+LeaderFinder::LeaderFinder(EventLoop &CallbackLoop, const Clock &TimeSource,
                            Holder &Controller, http::Client &Client)
-    : Loop(Runner), Time(TimeSource), LocalController(Controller),
+    : Loop(CallbackLoop), Time(TimeSource), LocalController(Controller),
       PeerClient(Client) {}
 
 void LeaderFinder::start() {
@@ -103,7 +103,7 @@
   const std::vector<EntryRecord> &Others = LocalController.registry().others();
   for (std::size_t Attempt = 0; Attempt < Others.size(); ++Attempt) {
     const EntryRecord &Other = Others[++LastQueriedIndex % Others.size()];
-    if (!LocalController.registry().isStronger(Other)) {
+    if (!LocalController.registry().isPreferredLeader(Other)) {
       continue;
     }
     queryEntry(Other, [this](const LeaderView &View) {
--- a/Source/Control/PrefixMirror.cpp
+++ b/Source/Control/PrefixMirror.cpp
@@ -11,10 +11,10 @@
 
 } // namespace
 
-PrefixMirror::PrefixMirror(EventLoop &Runner, RecordStore &Backend,
+PrefixMirror::PrefixMirror(EventLoop &CallbackLoop, RecordStore &Backend,
                            LogSink &Sink, Options MirrorOptions,
                            std::function<void()> OnChange)
-    : Loop(Runner), Store(Backend), Log(Sink),
+    : Loop(CallbackLoop), Store(Backend), Log(Sink),
       Settings(std::move(MirrorOptions)), ChangeCallback(std::move(OnChange)) {}
 
 PrefixMirror::~PrefixMirror() { stop(); }
--- a/Source/Control/include/balsamlatch/Control/EntryRegistry.h
+++ b/Source/Control/include/balsamlatch/Control/EntryRegistry.h
@@ -33,7 +33,7 @@
 class EntryRegistry {
 public:
   /// The key of an entry's record is \p KeyPrefix followed by the entry's name.
-  EntryRegistry(EventLoop &Runner, LogSink &Sink, RecordStore &Backend,
+  EntryRegistry(EventLoop &CallbackLoop, LogSink &Sink, RecordStore &Backend,
                 EntryRecord SelfRecord, std::string KeyPrefix);
 
   /// Updates the other entries from the store's items and ignores keys without
@@ -41,12 +41,12 @@
   void update(const PrefixMirror::Items &ElectionItems);
 
   /// Time that this entry waits before it claims vacant leadership, so that a
-  /// stronger entry can claim it first.
+  /// preferred leader can claim it first.
   Duration electionDelay() const;
   const std::vector<EntryRecord> &others() const { return OtherEntries; }
-  /// Whether the other entry has enough more processor time to justify a change
-  /// of the leader.
-  bool isStronger(const EntryRecord &Other) const;
+  /// Whether the other entry has so much more processor time than this one that
+  /// it should lead instead.
+  bool isPreferredLeader(const EntryRecord &Other) const;
 
 private:
   void registerSelf();
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -46,7 +46,7 @@
 
 class Holder final : public JobService {
 public:
-  Holder(EventLoop &Runner, const Clock &TimeSource, LogSink &Sink,
+  Holder(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
          RecordStore &Backend, WorkerPort &WorkerAdapter,
          PolicyPort &PolicyAdapter, HolderOptions Options);
   ~Holder() override;
@@ -91,7 +91,7 @@
 
   void handleElectionChange();
   void updateLeader(const EntryRecord &Record, std::uint64_t LeaderToken);
-  void handleVacancy();
+  void handleVacantLeadership();
   /// Whether an earlier process of this entry wrote the leader's key.
   bool wasWrittenByPreviousProcess(const StoredItem &LeaderItem) const;
   void acquireLease();
--- a/Source/Control/include/balsamlatch/Control/HostControl.h
+++ b/Source/Control/include/balsamlatch/Control/HostControl.h
@@ -24,12 +24,14 @@
   /// sent, under the condition that this process still leads.
   static constexpr std::string_view OrdersKey = "fleet/orders";
 
-  HostControl(EventLoop &Runner, const Clock &TimeSource, LogSink &Sink,
+  HostControl(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
               RecordStore &Backend, HostPort &HostAdapter, Holder &Controller,
               dispatch::HostKeeperOptions Options,
               WaveReportFormat ReportFormat);
 
+  /// Starts work at the beginning of a term of this process.
   void begin();
+  /// Stops work at the end of the term; pending replies are ignored.
   void end();
   void configure(std::shared_ptr<const dispatch::Deployment> NewConfig) {
     Config = std::move(NewConfig);
--- a/Source/Control/include/balsamlatch/Control/JobRouter.h
+++ b/Source/Control/include/balsamlatch/Control/JobRouter.h
@@ -21,11 +21,11 @@
 
 class JobRouter {
 public:
-  JobRouter(EventLoop &Runner, const Clock &TimeSource, LogSink &Sink,
+  JobRouter(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
             Holder &Controller, http::Client &Client);
 
-  /// Starts the periodic search for an entry that should lead instead of this
-  /// one.
+  /// Starts to offer leadership periodically to an entry with more processor
+  /// time, while this one leads.
   void start();
 
   /// Retries until a final reply or the deadline that applies, then calls
--- a/Source/Control/include/balsamlatch/Control/Journal.h
+++ b/Source/Control/include/balsamlatch/Control/Journal.h
@@ -25,8 +25,8 @@
     LeadershipLost,
   };
 
-  Journal(EventLoop &Runner, const Clock &TimeSource, RecordStore &Backend,
-          LogSink &Sink);
+  Journal(EventLoop &CallbackLoop, const Clock &TimeSource,
+          RecordStore &Backend, LogSink &Sink);
   ~Journal();
 
   /// Applies all records to \p Book, then calls \p Callback.
--- a/Source/Control/include/balsamlatch/Control/LeaderFinder.h
+++ b/Source/Control/include/balsamlatch/Control/LeaderFinder.h
@@ -1,7 +1,7 @@
 /// \file
 /// Exchanges views of the leader between entry processes. An entry that can't
 /// reach the store learns of a new leader this way, and a leader with little
-/// processor time finds a stronger entry to hand leadership to.
+/// processor time finds an entry with more of it to hand leadership to.
 
 #ifndef BALSAMLATCH_CONTROL_LEADERFINDER_H
 #define BALSAMLATCH_CONTROL_LEADERFINDER_H
@@ -19,10 +19,11 @@
 
 class LeaderFinder {
 public:
-  LeaderFinder(EventLoop &Runner, const Clock &TimeSource, Holder &Controller,
-               http::Client &Client);
+  LeaderFinder(EventLoop &CallbackLoop, const Clock &TimeSource,
+               Holder &Controller, http::Client &Client);
 
-  /// Starts the periodic search for a stronger entry while this one leads.
+  /// Starts to offer leadership periodically to an entry with more processor
+  /// time, while this one leads.
   void start();
   /// Reads the election keys again and queries one other entry, for when the
   /// known leader doesn't answer. Rate-limited; excess calls do nothing.
--- a/Source/Control/include/balsamlatch/Control/PrefixMirror.h
+++ b/Source/Control/include/balsamlatch/Control/PrefixMirror.h
@@ -31,7 +31,7 @@
 
   /// \p OnChange runs after each listing and after each batch of changes. All
   /// references must outlive the event loop's run.
-  PrefixMirror(EventLoop &Runner, RecordStore &Backend, LogSink &Sink,
+  PrefixMirror(EventLoop &CallbackLoop, RecordStore &Backend, LogSink &Sink,
                Options MirrorOptions, std::function<void()> OnChange);
   ~PrefixMirror();
 
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -406,8 +406,8 @@
   /// Replies to each query after a delay.
   class DelayedPolicies final : public PolicyPort {
   public:
-    DelayedPolicies(EventLoop &Runner, std::string Name)
-        : Loop(Runner), Ticket(std::move(Name)) {}
+    DelayedPolicies(EventLoop &CallbackLoop, std::string Name)
+        : Loop(CallbackLoop), Ticket(std::move(Name)) {}
     void ask(const dispatch::PermitQuery &, Done Callback) override {
       Loop.after(50ms, [this, Callback] {
         Callback(dispatch::PermitReply{{{"w", Ticket}}, 3s});
--- a/Tests/Control/FakeStore.h
+++ b/Tests/Control/FakeStore.h
@@ -15,7 +15,7 @@
 
 class FakeStore final : public RecordStore {
 public:
-  explicit FakeStore(EventLoop &Runner) : Loop(Runner) {}
+  explicit FakeStore(EventLoop &CallbackLoop) : Loop(CallbackLoop) {}
 
   void list(const std::string &Prefix, const std::string &AfterKey,
             std::function<void(PageReply)> Callback) override;
