--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -204,7 +204,8 @@
               JobReply::NotHolder));
 }
 
-BOOST_FIXTURE_TEST_CASE(AnOverwrittenLeaderAcceptsNoJobs, ElectionFixture) {
+BOOST_FIXTURE_TEST_CASE(ALeaderWithAnOverwrittenKeyAcceptsNoJobs,
+                        ElectionFixture) {
   auto FirstEntry = startEntry("one");
   BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
   Store.put("lead/jobs", encodeEntry({"two", "127.0.0.1", 2}));
@@ -226,7 +227,7 @@
   BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
 }
 
-BOOST_FIXTURE_TEST_CASE(JobsAreRefusedWhileTheStoreIsUnavailable,
+BOOST_FIXTURE_TEST_CASE(JobsAreRefusedAtOnceWhileTheStoreIsUnavailable,
                         ElectionFixture) {
   auto FirstEntry = startEntry("one");
   BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
@@ -332,7 +333,8 @@
   BOOST_TEST(HasSteppedDown);
 }
 
-BOOST_FIXTURE_TEST_CASE(ALeaderStepsDownForANewerView, ElectionFixture) {
+BOOST_FIXTURE_TEST_CASE(ALeaderWithoutTheStoreStepsDownForANewerView,
+                        ElectionFixture) {
   const EntryRecord NextLeader{"two", "127.0.0.1", 2};
   auto FirstEntry = startEntry("one");
   BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
