--- a/Source/Dispatch/Deployment.cpp
+++ b/Source/Dispatch/Deployment.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Look-ups in a configuration.
+/// Lookups of queues and pools in the configuration.
 
 #include "balsamlatch/Dispatch/Deployment.h"
 
@@ -9,28 +9,31 @@
 
 const Queue *Deployment::match(std::string_view Host,
                                std::string_view Path) const {
-  const Queue *Best = nullptr;
-  for (const Queue &Each : Queues) {
-    if (Each.Host == Host && Path.starts_with(Each.Prefix) &&
-        (Best == nullptr || Each.Prefix.size() > Best->Prefix.size())) {
-      Best = &Each;
+  const Queue *BestMatch = nullptr;
+  for (const Queue &QueueEntry : Queues) {
+    if (QueueEntry.Host == Host && Path.starts_with(QueueEntry.Prefix) &&
+        (BestMatch == nullptr ||
+         QueueEntry.Prefix.size() > BestMatch->Prefix.size())) {
+      BestMatch = &QueueEntry;
     }
   }
-  return Best;
+  return BestMatch;
 }
 
 const Queue *Deployment::find(const QueueName &Name) const {
-  const auto Found =
-      std::find_if(Queues.begin(), Queues.end(),
-                   [&](const Queue &Each) { return Each.Name == Name; });
-  return Found == Queues.end() ? nullptr : &*Found;
+  const auto QueueIt =
+      std::find_if(Queues.begin(), Queues.end(), [&](const Queue &QueueEntry) {
+        return QueueEntry.Name == Name;
+      });
+  return QueueIt == Queues.end() ? nullptr : &*QueueIt;
 }
 
 const Pool *Deployment::find(const PoolName &Name) const {
-  const auto Found =
-      std::find_if(Pools.begin(), Pools.end(),
-                   [&](const Pool &Each) { return Each.Name == Name; });
-  return Found == Pools.end() ? nullptr : &*Found;
+  const auto PoolIt =
+      std::find_if(Pools.begin(), Pools.end(), [&](const Pool &PoolEntry) {
+        return PoolEntry.Name == Name;
+      });
+  return PoolIt == Pools.end() ? nullptr : &*PoolIt;
 }
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The course of a term: its begin, and what the journal holds.
+/// The start and end of a leadership term, the worker registrations, and the
+/// effect of recorded journal events on the state of the dispatcher.
 
 #include "balsamlatch/Dispatch/Dispatcher.h"
 
@@ -14,13 +15,14 @@
 
 namespace {
 
-/// Covers what a timer is late and the way of an order.
-constexpr Duration LapseMargin = std::chrono::milliseconds(200);
-/// Percent for fillers that an earlier holder may have slowed down.
-constexpr unsigned AdoptedPace = 50;
+/// Covers late timers and the network time of an order.
+constexpr Duration LeaseExpiryMargin = std::chrono::milliseconds(200);
+/// Pace, in percent, of fillers that an earlier lease holder may have
+/// throttled.
+constexpr unsigned AdoptedPacePercent = 50;
 
-std::string_view endName(RunEnd How) {
-  switch (How) {
+std::string_view runEndName(RunEnd End) {
+  switch (End) {
   case RunEnd::Done:
     return "done";
   case RunEnd::Failed:
@@ -39,14 +41,14 @@
 
 } // namespace
 
-bool WorkerState::shared() const {
-  bool Serving = false;
-  bool Filling = false;
+bool WorkerState::hasFillersNextToServing() const {
+  bool HasServing = false;
+  bool HasFiller = false;
   for (const auto &[Task, Run] : Runs) {
-    Serving = Serving || Run.TailObjective > Duration::zero();
-    Filling = Filling || Run.Filler;
+    HasServing = HasServing || Run.TailObjective > Duration::zero();
+    HasFiller = HasFiller || Run.Filler;
   }
-  return Serving && Filling;
+  return HasServing && HasFiller;
 }
 
 bool WorkerState::hasLabel(const std::string &Label) const {
@@ -62,11 +64,11 @@
   end();
   Token = NewToken;
   Book = &Jobs;
-  TermBegan = Time.now();
-  for (const auto &[Id, Each] : Jobs.jobs()) {
-    adoptPlaced(Each);
-    noteArrival(Each);
-    if (Each.open()) {
+  TermStart = Time.now();
+  for (const auto &[Id, Job] : Jobs.jobs()) {
+    adoptPlacedRuns(Job);
+    updateMeanWork(Job);
+    if (Job.open()) {
       OpenJobs.insert(Id);
     }
   }
@@ -77,18 +79,18 @@
   Book = nullptr;
   Fenced = false;
   Workers.clear();
-  Proposed.clear();
-  CloseProposed.clear();
+  ProposedTasks.clear();
+  ClosingJobs.clear();
   OpenJobs.clear();
-  LastFailedOn.clear();
-  EndingAt.clear();
+  LastFailedWorker.clear();
+  WorkerOfEndingRun.clear();
   UnplacedSince.clear();
-  Lacking.clear();
+  RequiredHosts.clear();
   Permits.clear();
   Queries.clear();
-  QueriesOut.clear();
+  QueriesInFlight.clear();
   NextQueryAt = {};
-  BatchOpen = false;
+  BatchInFlight = false;
   Events.clear();
   Orders.clear();
 }
@@ -99,15 +101,15 @@
   if (Book == nullptr) {
     return;
   }
-  // An earlier holder may have recorded the last end of a job but not its
-  // close; and the attempts that are allowed may have changed.
+  // An earlier lease holder may have recorded the last end of a job but not
+  // closed the job, and MaxAttempts may have changed.
   for (const JobId &Id : OpenJobs) {
     closeIfDone(Id);
   }
 }
 
-void Dispatcher::adoptPlaced(const jobs::Job &Owner) {
-  for (const auto &[Occurrence, Steps] : Owner.Record.Occurrences) {
+void Dispatcher::adoptPlacedRuns(const jobs::Job &Job) {
+  for (const auto &[Occurrence, Steps] : Job.Record.Occurrences) {
     for (unsigned Step = 0; Step < Steps.size(); ++Step) {
       for (unsigned Index = 0; Index < Steps[Step].size(); ++Index) {
         const TaskRecord &Task = Steps[Step][Index];
@@ -119,30 +121,30 @@
         Worker.Record.Life.Born =
             std::max(Worker.Record.Life.Born, Task.Worker.Born);
         RunState Run;
-        Run.Run = Task.Run;
+        Run.Number = Task.Run;
         Run.Phase = RunPhase::Uncertain;
-        Run.EarlierTerm = true;
-        Run.PlacedBorn = Task.Worker.Born;
-        const jobs::StepSpec &Spec = Owner.spec().Steps[Step];
-        Run.Claim = claimOf(Spec);
+        Run.FromEarlierTerm = true;
+        Run.WorkerBorn = Task.Worker.Born;
+        const jobs::StepSpec &Spec = Job.spec().Steps[Step];
+        Run.Claim = claimFor(Spec);
         Run.Lasting = Spec.Lasting;
         Run.Filler = Spec.Filler;
         Run.TailObjective = Spec.TailObjective;
         if (Run.Filler) {
           Run.Pace.reset();
-          Worker.Fillers = {AdoptedPace, TermBegan};
+          Worker.TargetPace = {AdoptedPacePercent, TermStart};
         }
-        Run.StopWanted = !Owner.open();
-        Worker.Claimed += Run.Claim;
-        Worker.Runs[{Owner.id(), Occurrence, Step, Index}] = Run;
-        Worker.LapsedAt = TermBegan + Settings.StorelessRenewal;
-        extendLapse(Worker, Worker.LapsedAt);
+        Run.StopRequested = !Job.open();
+        Worker.ClaimedResources += Run.Claim;
+        Worker.Runs[{Job.id(), Occurrence, Step, Index}] = Run;
+        Worker.LeasesExpireAt = TermStart + Settings.StorelessRenewal;
+        extendLeaseExpiry(Worker, Worker.LeasesExpireAt);
       }
     }
   }
 }
 
-Resources Dispatcher::claimOf(const jobs::StepSpec &Step) {
+Resources Dispatcher::claimFor(const jobs::StepSpec &Step) {
   Resources Claim = Step.Need;
   if (Step.Filler) {
     Claim.CpuMilli = 0;
@@ -150,11 +152,11 @@
   return Claim;
 }
 
-void Dispatcher::extendLapse(WorkerState &Worker, Instant Now) {
-  const Duration Longest =
+void Dispatcher::extendLeaseExpiry(WorkerState &Worker, Instant Now) {
+  const Duration MaxLease =
       Settings.RunLease * (100 + Settings.ClockSlackPercent) / 100 +
-      LapseMargin;
-  Worker.LapsedAt = std::max(Worker.LapsedAt, Now + Longest);
+      LeaseExpiryMargin;
+  Worker.LeasesExpireAt = std::max(Worker.LeasesExpireAt, Now + MaxLease);
 }
 
 void Dispatcher::setWorkers(
@@ -164,32 +166,32 @@
   }
   for (auto &[Id, Worker] : Workers) {
     if (!Records.contains(Id)) {
-      Worker.Listed = false;
+      Worker.IsRegistered = false;
     }
   }
   for (const auto &[Id, Record] : Records) {
     WorkerState &Worker = Workers[Id];
     if (Record.Life.Born < Worker.Record.Life.Born) {
-      continue; // the registration is older than the worker's own word
+      continue; // the worker has already reported a later life
     }
     if (Record.Life.Born > Worker.Record.Life.Born) {
-      takeLife(Worker, Record.Life.Born);
+      setWorkerLife(Worker, Record.Life.Born);
     }
-    if (!Worker.Listed) {
+    if (!Worker.IsRegistered) {
       Worker.NextHoldAt = Time.now();
     }
     Worker.Record = Record;
-    Worker.Listed = true;
+    Worker.IsRegistered = true;
   }
   PlanNeeded = true;
 }
 
-void Dispatcher::takeLife(WorkerState &Worker, std::int64_t Born) {
+void Dispatcher::setWorkerLife(WorkerState &Worker, std::int64_t Born) {
   if (Worker.Record.Life.Born == Born) {
     return;
   }
   for (auto &[Task, Run] : Worker.Runs) {
-    if (Run.PlacedBorn < Born) {
+    if (Run.WorkerBorn < Born) {
       proposeEnd(Worker, Task, Run, RunEnd::Lost, {});
     }
   }
@@ -200,45 +202,48 @@
                {"before", Worker.Record.Life.Born}});
   }
   Worker.Record.Life.Born = Born;
-  Worker.Contacted = false;
+  Worker.HasReported = false;
   Worker.EndsSeen = 0;
   Worker.EndsInBatch = 0;
   Worker.EndsRecorded = 0;
-  Worker.FailuresInRow = 0;
-  Worker.Suspicions = 0;
+  Worker.ConsecutiveFailures = 0;
+  Worker.AvoidanceDoublings = 0;
   Worker.AvoidUntil = {};
 }
 
-void Dispatcher::recorded(const std::vector<JobEvent> &Done) {
+void Dispatcher::recorded(const std::vector<JobEvent> &RecordedEvents) {
   if (Book == nullptr) {
     return;
   }
-  BatchOpen = false;
+  BatchInFlight = false;
   for (auto &[Id, Worker] : Workers) {
-    noteRecorded(Worker, Worker.EndsInBatch);
+    advanceRecordedEnds(Worker, Worker.EndsInBatch);
   }
-  for (const JobEvent &Event : Done) {
-    std::visit([this](const auto &Kind) { recordOf(Kind); }, Event);
+  for (const JobEvent &Event : RecordedEvents) {
+    std::visit(
+        [this](const auto &RecordedEvent) { applyRecorded(RecordedEvent); },
+        Event);
   }
   PlanNeeded = true;
 }
 
-void Dispatcher::noteRecorded(WorkerState &Worker, std::uint64_t Number) {
+void Dispatcher::advanceRecordedEnds(WorkerState &Worker,
+                                     std::uint64_t Number) {
   if (Worker.EndsRecorded < Number) {
     Worker.EndsRecorded = Number;
     Worker.NextHoldAt = std::min(Worker.NextHoldAt, Time.now());
   }
 }
 
-void Dispatcher::recordOf(const jobs::JobAccepted &Event) {
+void Dispatcher::applyRecorded(const jobs::JobAccepted &Event) {
   OpenJobs.insert(Event.Job);
-  if (const jobs::Job *Owner = Book->find(Event.Job)) {
-    noteArrival(*Owner);
+  if (const jobs::Job *Job = Book->find(Event.Job)) {
+    updateMeanWork(*Job);
   }
 }
 
-void Dispatcher::recordOf(const jobs::TaskPlaced &Event) {
-  Proposed.erase(Event.Task);
+void Dispatcher::applyRecorded(const jobs::TaskPlaced &Event) {
+  ProposedTasks.erase(Event.Task);
   RunState *Run = findRun(Event.Worker.Id, Event.Task, Event.Run);
   if (Run == nullptr) {
     Events.emplace_back(
@@ -246,117 +251,118 @@
     return;
   }
   WorkerState &Worker = Workers.at(Event.Worker.Id);
-  const jobs::Job *Owner = Book->find(Event.Task.Job);
-  const bool Wanted = Owner != nullptr && Owner->open() && !Run->StopWanted;
-  // The worker's life may have ended while the record was written.
-  if (!Wanted || Worker.Record.Life != Event.Worker) {
+  const jobs::Job *Job = Book->find(Event.Task.Job);
+  const bool IsStillWanted =
+      Job != nullptr && Job->open() && !Run->StopRequested;
+  // The worker may have restarted while the event was being written.
+  if (!IsStillWanted || Worker.Record.Life != Event.Worker) {
     proposeEnd(Worker, Event.Task, *Run, RunEnd::Refused, {});
     return;
   }
   orderStart(Worker, Event.Task, *Run);
 }
 
-void Dispatcher::recordOf(const jobs::TaskEnded &Event) {
-  const auto At = EndingAt.find(Event.Task);
-  if (At != EndingAt.end()) {
-    const RunState *Run = findRun(At->second, Event.Task, Event.Run);
+void Dispatcher::applyRecorded(const jobs::TaskEnded &Event) {
+  const auto WorkerIt = WorkerOfEndingRun.find(Event.Task);
+  if (WorkerIt != WorkerOfEndingRun.end()) {
+    const RunState *Run = findRun(WorkerIt->second, Event.Task, Event.Run);
     if (Run != nullptr && Run->Phase == RunPhase::Ending) {
-      Workers.at(At->second).Runs.erase(Event.Task);
-      EndingAt.erase(At);
+      Workers.at(WorkerIt->second).Runs.erase(Event.Task);
+      WorkerOfEndingRun.erase(WorkerIt);
     }
   }
   closeIfDone(Event.Task.Job);
 }
 
-void Dispatcher::recordOf(const jobs::JobClosed &Event) {
+void Dispatcher::applyRecorded(const jobs::JobClosed &Event) {
   OpenJobs.erase(Event.Job);
-  Permits.forget(Event.Job);
-  CloseProposed.erase(Event.Job);
+  Permits.removeJob(Event.Job);
+  ClosingJobs.erase(Event.Job);
   for (auto &[Id, Worker] : Workers) {
     for (auto &[Task, Run] : Worker.Runs) {
       if (Task.Job == Event.Job) {
-        Run.StopWanted = true;
+        Run.StopRequested = true;
       }
     }
   }
 }
 
 void Dispatcher::closeIfDone(const JobId &Id) {
-  const jobs::Job *Owner = Book->find(Id);
-  if (Owner == nullptr || !Owner->open() || CloseProposed.contains(Id)) {
+  const jobs::Job *Job = Book->find(Id);
+  if (Job == nullptr || !Job->open() || ClosingJobs.contains(Id)) {
     return;
   }
   jobs::JobState State = jobs::JobState::Running;
-  if (Owner->OpenTasks == 0) {
+  if (Job->OpenTasks == 0) {
     State = jobs::JobState::Completed;
   } else {
-    const Queue *From = Config == nullptr
-                            ? nullptr
-                            : Config->find(Owner->Record.Accepted.Queue);
-    if (From == nullptr || Owner->worstFailures() < From->MaxAttempts) {
+    const Queue *JobQueue =
+        Config == nullptr ? nullptr : Config->find(Job->Record.Accepted.Queue);
+    if (JobQueue == nullptr || Job->worstFailures() < JobQueue->MaxAttempts) {
       return;
     }
     State = jobs::JobState::Failed;
   }
-  CloseProposed.insert(Id);
+  ClosingJobs.insert(Id);
   Events.emplace_back(jobs::JobClosed{Id, State, Time.wallNow()});
   Log.write(
       LogLevel::Info, "job-closed",
       {{"job", Id.Text},
        {"state", State == jobs::JobState::Completed ? "completed" : "failed"},
-       {"failures", Owner->worstFailures()}});
+       {"failures", Job->worstFailures()}});
 }
 
-void Dispatcher::release(WorkerState &Worker, RunState &Run) {
+void Dispatcher::releaseClaim(WorkerState &Worker, RunState &Run) {
   if (Run.Phase != RunPhase::Ending) {
     Run.Phase = RunPhase::Ending;
-    Worker.Claimed -= Run.Claim;
+    Worker.ClaimedResources -= Run.Claim;
   }
 }
 
 void Dispatcher::proposeEnd(WorkerState &Worker, const TaskRef &Task,
-                            RunState &Run, RunEnd How,
+                            RunState &Run, RunEnd End,
                             const std::string &Checkpoint) {
   if (Run.Phase == RunPhase::Ending) {
     return;
   }
-  if (Run.Phase == RunPhase::Proposed && Proposed.contains(Task)) {
-    // Its record comes first; recordOf() ends the run then.
-    Run.StopWanted = true;
+  if (Run.Phase == RunPhase::Proposed && ProposedTasks.contains(Task)) {
+    // The placement must be recorded first; applyRecorded() then ends the run.
+    Run.StopRequested = true;
     return;
   }
   Log.write(LogLevel::Info, "run-ended",
             {{"job", Task.Job.Text},
              {"task", placeOf(Task)},
-             {"run", Run.Run},
+             {"run", Run.Number},
              {"worker", Worker.Record.Life.Id},
-             {"how", endName(How)}});
-  release(Worker, Run);
-  EndingAt[Task] = Worker.Record.Life.Id;
-  Events.emplace_back(jobs::TaskEnded{Task, Run.Run, How, Checkpoint});
-  if (How != RunEnd::Done) {
-    stopGang(Task, Run.Run);
+             {"how", runEndName(End)}});
+  releaseClaim(Worker, Run);
+  WorkerOfEndingRun[Task] = Worker.Record.Life.Id;
+  Events.emplace_back(jobs::TaskEnded{Task, Run.Number, End, Checkpoint});
+  if (End != RunEnd::Done) {
+    stopGangPeers(Task, Run.Number);
   }
 }
 
-void Dispatcher::stopGang(const TaskRef &Ended, std::uint32_t Run) {
-  const jobs::Job *Owner = Book->find(Ended.Job);
-  const TaskRecord *Own = Owner == nullptr ? nullptr : Owner->find(Ended);
-  if (Own == nullptr || !Owner->spec().Steps[Ended.Step].Gang) {
+void Dispatcher::stopGangPeers(const TaskRef &EndedMember, std::uint32_t Run) {
+  const jobs::Job *Job = Book->find(EndedMember.Job);
+  const TaskRecord *EndedRecord =
+      Job == nullptr ? nullptr : Job->find(EndedMember);
+  if (EndedRecord == nullptr || !Job->spec().Steps[EndedMember.Step].Gang) {
     return;
   }
-  TaskRef Member = Ended;
-  for (Member.Index = 0; Member.Index < Owner->spec().Steps[Ended.Step].Count;
-       ++Member.Index) {
-    const TaskRecord &Record = *Owner->find(Member);
-    RunState *Other = findRun(Record.Worker.Id, Member, Run);
-    if (Other != nullptr && Member != Ended) {
-      Other->StopWanted = true;
+  TaskRef Peer = EndedMember;
+  for (Peer.Index = 0; Peer.Index < Job->spec().Steps[EndedMember.Step].Count;
+       ++Peer.Index) {
+    const TaskRecord &PeerRecord = *Job->find(Peer);
+    RunState *PeerRun = findRun(PeerRecord.Worker.Id, Peer, Run);
+    if (PeerRun != nullptr && Peer != EndedMember) {
+      PeerRun->StopRequested = true;
     }
   }
 }
 
-void Dispatcher::loseAll(WorkerState &Worker, std::string_view Why) {
+void Dispatcher::endAllAsLost(WorkerState &Worker, std::string_view Reason) {
   for (auto &[Task, Run] : Worker.Runs) {
     if (Run.Phase == RunPhase::Ending || Run.Phase == RunPhase::Proposed) {
       continue;
@@ -364,29 +370,29 @@
     Log.write(LogLevel::Info, "run-lost",
               {{"job", Task.Job.Text},
                {"worker", Worker.Record.Life.Id},
-               {"run", Run.Run},
-               {"why", Why}});
+               {"run", Run.Number},
+               {"why", Reason}});
     proposeEnd(Worker, Task, Run, RunEnd::Lost, Run.Checkpoint);
   }
 }
 
 WorkerState *Dispatcher::findWorker(const WorkerLife &Life) {
-  const auto Found = Workers.find(Life.Id);
-  return Found == Workers.end() || Found->second.Record.Life != Life
+  const auto WorkerIt = Workers.find(Life.Id);
+  return WorkerIt == Workers.end() || WorkerIt->second.Record.Life != Life
              ? nullptr
-             : &Found->second;
+             : &WorkerIt->second;
 }
 
 RunState *Dispatcher::findRun(const std::string &WorkerId, const TaskRef &Task,
                               std::uint32_t Run) {
-  const auto Worker = Workers.find(WorkerId);
-  if (Worker == Workers.end()) {
+  const auto WorkerIt = Workers.find(WorkerId);
+  if (WorkerIt == Workers.end()) {
     return nullptr;
   }
-  const auto Found = Worker->second.Runs.find(Task);
-  return Found == Worker->second.Runs.end() || Found->second.Run != Run
+  const auto RunIt = WorkerIt->second.Runs.find(Task);
+  return RunIt == WorkerIt->second.Runs.end() || RunIt->second.Number != Run
              ? nullptr
-             : &Found->second;
+             : &RunIt->second;
 }
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// What is due: orders to workers, leases that run out, records that may go;
-/// and what becomes of workers whose hosts are ordered.
+/// Periodic work of the dispatcher: orders to workers, expiry of leases and
+/// removal of old jobs; and the handling of workers whose hosts are maintained
+/// or moved.
 
 #include "balsamlatch/Dispatch/Dispatcher.h"
 
@@ -14,11 +15,11 @@
 
 constexpr Duration PlanPeriod = std::chrono::milliseconds(8);
 constexpr Duration ForgetPeriod = std::chrono::seconds(1);
-/// Host lists in a row without a worker after which its life is over: one may
-/// be older than the worker.
-constexpr unsigned ListsToBelieve = 2;
+/// Consecutive host lists without a worker after which the worker counts as
+/// ended. A single list may have been taken before the worker started.
+constexpr unsigned MinListsWithoutHost = 2;
 
-std::int64_t millisecondsOf(Duration Length) {
+std::int64_t toMilliseconds(Duration Length) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(Length).count();
 }
 
@@ -31,8 +32,9 @@
   const Instant Now = Time.now();
   expireLeases(Now);
   for (auto &[Id, Worker] : Workers) {
-    if (!BatchOpen && Events.empty()) {
-      noteRecorded(Worker, Worker.EndsSeen); // they needed no record
+    if (!BatchInFlight && Events.empty()) {
+      // Nothing is left to record, so all ends seen so far count as recorded.
+      advanceRecordedEnds(Worker, Worker.EndsSeen);
     }
     orderStops(Worker);
     orderPaces(Worker, Now);
@@ -45,99 +47,106 @@
   }
   if (Now >= NextForgetAt) {
     NextForgetAt = Now + ForgetPeriod;
-    PlanNeeded = true; // times of scheduled jobs come without an event
-    forgetOld();
+    PlanNeeded = true; // scheduled jobs become due without an event
+    forgetClosedJobs();
   }
 }
 
-void Dispatcher::forgetOld() {
-  const WallTime Before = Time.wallNow() - Settings.StatusRetention;
-  for (const auto &[Id, Each] : Book->jobs()) {
-    if (!Each.open() && Each.PlacedTasks == 0 &&
-        Each.Record.ClosedAt < Before) {
+void Dispatcher::forgetClosedJobs() {
+  const WallTime RetainedSince = Time.wallNow() - Settings.StatusRetention;
+  for (const auto &[Id, Job] : Book->jobs()) {
+    if (!Job.open() && Job.PlacedTasks == 0 &&
+        Job.Record.ClosedAt < RetainedSince) {
       Events.emplace_back(jobs::JobForgotten{Id});
     }
   }
 }
 
 void Dispatcher::expireLeases(Instant Now) {
-  for (auto It = Workers.begin(); It != Workers.end();) {
-    WorkerState &Worker = It->second;
-    if (!Worker.Runs.empty() && Now >= Worker.LapsedAt &&
-        (Worker.Silent || !Worker.Contacted)) {
-      loseAll(Worker, "its worker can't be reached and the lease has run out");
+  for (auto WorkerIt = Workers.begin(); WorkerIt != Workers.end();) {
+    WorkerState &Worker = WorkerIt->second;
+    if (!Worker.Runs.empty() && Now >= Worker.LeasesExpireAt &&
+        (Worker.IsUnresponsive || !Worker.HasReported)) {
+      endAllAsLost(Worker,
+                   "its worker can't be reached and the lease has run out");
     }
-    if (!Worker.Listed && Worker.Runs.empty() && Now >= Worker.LapsedAt) {
-      It = Workers.erase(It);
+    if (!Worker.IsRegistered && Worker.Runs.empty() &&
+        Now >= Worker.LeasesExpireAt) {
+      WorkerIt = Workers.erase(WorkerIt);
     } else {
-      ++It;
+      ++WorkerIt;
     }
   }
 }
 
 void Dispatcher::orderStops(WorkerState &Worker) {
-  if (!Worker.Listed && !Worker.Contacted) {
+  if (!Worker.IsRegistered && !Worker.HasReported) {
     return;
   }
   for (auto &[Task, Run] : Worker.Runs) {
-    const bool Present = Run.Phase == RunPhase::Running ||
-                         (Run.Phase == RunPhase::Uncertain && !Run.EarlierTerm);
-    if (!Present || Run.StopInFlight ||
-        (!Run.StopWanted && Run.Phase == RunPhase::Running)) {
+    const bool MayBeRunning =
+        Run.Phase == RunPhase::Running ||
+        (Run.Phase == RunPhase::Uncertain && !Run.FromEarlierTerm);
+    if (!MayBeRunning || Run.StopInFlight ||
+        (!Run.StopRequested && Run.Phase == RunPhase::Running)) {
       continue;
     }
     if (Run.StopConfirmedAt) {
-      continue; // the next report shows its end
+      continue; // the next report contains the end of the run
     }
     Run.StopInFlight = true;
-    Orders.emplace_back(StopOrder{Worker.Record.Address, Token, Task, Run.Run});
+    Orders.emplace_back(
+        StopOrder{Worker.Record.Address, Token, Task, Run.Number});
   }
 }
 
 void Dispatcher::orderPaces(WorkerState &Worker, Instant Now) {
-  // Fillers begin whole, so that most workers need no orders at all.
-  if (Worker.Fillers.ChangedAt == Instant() || Now < Worker.NextPaceAt) {
+  // Fillers start at full pace, so most workers need no pace orders.
+  if (Worker.TargetPace.ChangedAt == Instant() || Now < Worker.NextPaceAt) {
     return;
   }
   for (auto &[Task, Run] : Worker.Runs) {
-    if (!Run.Filler || Run.Phase != RunPhase::Running || Run.StopWanted ||
-        Run.PaceInFlight || Run.Pace == Worker.Fillers.Percent) {
+    if (!Run.Filler || Run.Phase != RunPhase::Running || Run.StopRequested ||
+        Run.PaceInFlight || Run.Pace == Worker.TargetPace.Percent) {
       continue;
     }
     Run.PaceInFlight = true;
-    Orders.emplace_back(PaceOrder{Worker.Record.Address, Token, Task, Run.Run,
-                                  Worker.Fillers.Percent});
+    Orders.emplace_back(PaceOrder{Worker.Record.Address, Token, Task,
+                                  Run.Number, Worker.TargetPace.Percent});
   }
 }
 
 void Dispatcher::orderHold(WorkerState &Worker, Instant Now, bool MayRenew) {
   if (Worker.HoldInFlight || Now < Worker.NextHoldAt ||
       Worker.Record.Address.Ip.empty() ||
-      (!Worker.Listed && Worker.Runs.empty())) {
+      (!Worker.IsRegistered && Worker.Runs.empty())) {
     return;
   }
   HoldOrder Order;
   Order.To = Worker.Record.Address;
   Order.Token = Token;
   Order.EndsRecorded = Worker.EndsRecorded;
-  // Ends that the journal doesn't hold yet would be reported again at once.
-  const bool EndsOpen = Worker.EndsSeen != Worker.EndsRecorded;
-  if (Worker.Contacted && !Worker.Silent && !Worker.Runs.empty() && !EndsOpen) {
-    const bool Starting = std::any_of(
+  // The worker reports ends that aren't recorded yet again at once, so a long
+  // poll would not wait.
+  const bool HasUnrecordedEnds = Worker.EndsSeen != Worker.EndsRecorded;
+  if (Worker.HasReported && !Worker.IsUnresponsive && !Worker.Runs.empty() &&
+      !HasUnrecordedEnds) {
+    const bool HasStartingRun = std::any_of(
         Worker.Runs.begin(), Worker.Runs.end(), [](const auto &Run) {
           return Run.second.Lasting && Run.second.Percent == 0;
         });
-    Order.Wait = Starting          ? Settings.StartingHoldWait
-                 : Worker.shared() ? Settings.SharedHoldWait
-                                   : Settings.HoldWait;
-  }
-  // A worker that doesn't answer isn't renewed: its runs could never be taken
-  // as ended otherwise.
-  if (Worker.Contacted && !Worker.Silent && MayRenew && !Worker.Runs.empty()) {
+    Order.Wait = HasStartingRun                     ? Settings.StartingHoldWait
+                 : Worker.hasFillersNextToServing() ? Settings.SharedHoldWait
+                                                    : Settings.HoldWait;
+  }
+  // Leases of an unresponsive worker are not renewed; otherwise its runs could
+  // never be declared lost.
+  if (Worker.HasReported && !Worker.IsUnresponsive && MayRenew &&
+      !Worker.Runs.empty()) {
     Order.LeaseUntil =
         Worker.clockAt(Now) +
         std::chrono::duration_cast<WorkerClock>(Settings.RunLease);
-    extendLapse(Worker, Now);
+    extendLeaseExpiry(Worker, Now);
   }
   Worker.HoldInFlight = true;
   Orders.emplace_back(std::move(Order));
@@ -145,32 +154,32 @@
 
 void Dispatcher::orderStart(WorkerState &Worker, const TaskRef &Task,
                             RunState &Run) {
-  const jobs::Job *Owner = Book->find(Task.Job);
+  const jobs::Job *Job = Book->find(Task.Job);
   const Instant Now = Time.now();
   StartOrder Order;
   Order.To = Worker.Record.Address;
   Order.Token = Token;
   Order.Task = Task;
-  Order.Run = Run.Run;
-  Order.SpecText = Owner->spec().Text;
+  Order.Run = Run.Number;
+  Order.SpecText = Job->spec().Text;
   Order.LeaseUntil = Worker.clockAt(Now) +
                      std::chrono::duration_cast<WorkerClock>(Settings.RunLease);
-  Order.Checkpoint = Owner->find(Task)->Checkpoint;
+  Order.Checkpoint = Job->find(Task)->Checkpoint;
   Order.Ticket = Run.Ticket;
-  extendLapse(Worker, Now);
+  extendLeaseExpiry(Worker, Now);
   Run.Phase = RunPhase::Ordered;
   Log.write(LogLevel::Info, "run-ordered",
             {{"job", Task.Job.Text},
              {"task", placeOf(Task)},
-             {"run", Run.Run},
+             {"run", Run.Number},
              {"worker", Worker.Record.Life.Id},
-             {"used_cpu_milli", Worker.Claimed.CpuMilli},
-             {"report_age_ms", millisecondsOf(Now - Worker.LastReportAt)}});
+             {"used_cpu_milli", Worker.ClaimedResources.CpuMilli},
+             {"report_age_ms", toMilliseconds(Now - Worker.LastReportAt)}});
   Orders.emplace_back(std::move(Order));
 }
 
 std::vector<JobEvent> Dispatcher::takeEvents() {
-  BatchOpen = BatchOpen || !Events.empty();
+  BatchInFlight = BatchInFlight || !Events.empty();
   for (auto &[Id, Worker] : Workers) {
     Worker.EndsInBatch = Worker.EndsSeen;
   }
@@ -185,52 +194,54 @@
   return std::exchange(Queries, {});
 }
 
-void Dispatcher::setLeaving(const std::string &WorkerId, bool Leaving) {
-  setCordoned(WorkerId, Leaving);
-  const auto Found = Workers.find(WorkerId);
-  if (Found != Workers.end()) {
-    Found->second.Leaving = Leaving;
+void Dispatcher::setHostOrderPending(const std::string &WorkerId,
+                                     bool OrderPending) {
+  setCordoned(WorkerId, OrderPending);
+  const auto WorkerIt = Workers.find(WorkerId);
+  if (WorkerIt != Workers.end()) {
+    WorkerIt->second.HostOrderPending = OrderPending;
   }
 }
 
 void Dispatcher::moveRun(const std::string &WorkerId, const TaskRef &Task) {
-  const auto Found = Workers.find(WorkerId);
-  if (Found == Workers.end() || !Found->second.Runs.contains(Task)) {
+  const auto WorkerIt = Workers.find(WorkerId);
+  if (WorkerIt == Workers.end() || !WorkerIt->second.Runs.contains(Task)) {
     return;
   }
-  Found->second.Runs[Task].StopWanted = true;
+  WorkerIt->second.Runs[Task].StopRequested = true;
   Log.write(LogLevel::Info, "run-moved",
             {{"job", Task.Job.Text},
              {"worker", WorkerId},
-             {"why", "its host is to be maintained"}});
+             {"why", "the host of the worker is to be maintained"}});
 }
 
 void Dispatcher::setHostedWorkers(const std::set<std::string> &Ids) {
   for (auto &[Id, Worker] : Workers) {
     if (Ids.contains(Id)) {
-      Worker.UnhostedLists = 0;
-    } else if ((Worker.Silent || !Worker.Contacted) &&
-               ++Worker.UnhostedLists >= ListsToBelieve) {
-      loseAll(Worker, "no host runs its worker any more");
+      Worker.ListsWithoutHost = 0;
+    } else if ((Worker.IsUnresponsive || !Worker.HasReported) &&
+               ++Worker.ListsWithoutHost >= MinListsWithoutHost) {
+      endAllAsLost(Worker, "no host runs its worker any more");
     }
   }
 }
 
-void Dispatcher::hostTaken(const std::string &WorkerId) {
-  const auto Found = Workers.find(WorkerId);
-  if (Book == nullptr || Found == Workers.end()) {
+void Dispatcher::handleHostGone(const std::string &WorkerId) {
+  const auto WorkerIt = Workers.find(WorkerId);
+  if (Book == nullptr || WorkerIt == Workers.end()) {
     return;
   }
-  loseAll(Found->second, "its host was moved or maintained");
-  Found->second.Listed = false;
-  Found->second.Cordoned = true;
-  Found->second.Silent = true;
+  endAllAsLost(WorkerIt->second,
+               "the host of the worker was moved or maintained");
+  WorkerIt->second.IsRegistered = false;
+  WorkerIt->second.IsCordoned = true;
+  WorkerIt->second.IsUnresponsive = true;
 }
 
-void Dispatcher::setCordoned(const std::string &WorkerId, bool Cordoned) {
-  const auto Found = Workers.find(WorkerId);
-  if (Found != Workers.end()) {
-    Found->second.Cordoned = Cordoned;
+void Dispatcher::setCordoned(const std::string &WorkerId, bool IsCordoned) {
+  const auto WorkerIt = Workers.find(WorkerId);
+  if (WorkerIt != Workers.end()) {
+    WorkerIt->second.IsCordoned = IsCordoned;
     PlanNeeded = true;
   }
 }
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// Chooses which waiting tasks run next, and where.
+/// Placement: chooses the waiting tasks that run next and their workers, and
+/// asks the placement policies for permits.
 
 #include "balsamlatch/Dispatch/Dispatcher.h"
-#include "balsamlatch/Dispatch/Ordering.h"
+#include "balsamlatch/Dispatch/JobRank.h"
 
 #include <algorithm>
 #include <limits>
@@ -14,374 +15,403 @@
 using jobs::TaskPhase;
 using jobs::TaskRecord;
 
-/// One step of one occurrence with tasks that wait.
-struct Dispatcher::Candidate {
-  const Job *Owner = nullptr;
+/// A step of a job occurrence that has waiting tasks.
+struct Dispatcher::WaitingStep {
+  const Job *ParentJob = nullptr;
   unsigned Occurrence = 0;
   unsigned Step = 0;
   unsigned Priority = 0;
   PoolName Pool;
   std::optional<PlacementPolicy> Policy;
-  Rank Order;
+  Rank JobRank;
 
-  const StepSpec &spec() const { return Owner->spec().Steps[Step]; }
+  const StepSpec &spec() const { return ParentJob->spec().Steps[Step]; }
   TaskRef task(unsigned Index) const {
-    return {Owner->id(), Occurrence, Step, Index};
+    return {ParentJob->id(), Occurrence, Step, Index};
   }
   const TaskRecord *record(unsigned Index) const {
-    return Owner->find(task(Index));
+    return ParentJob->find(task(Index));
   }
 };
 
 namespace {
 
-/// Weights of what counts more than how full a worker is, which is at most 1
-/// and one for each lasting run.
-constexpr double PreferredRackGain = 100;
-constexpr double FailedTherePenalty = 1000;
-/// Work that waits longer than this waits for more hosts: pools follow the
-/// demand before that.
-constexpr Duration UnplacedPatience = std::chrono::milliseconds(500);
-/// Most workers of one query: what a step of usual width can need.
+/// Score adjustments that outweigh the utilization of a worker. Utilization
+/// adds at most 1, and each lasting run adds 1.
+constexpr double PreferredRackBonus = 100;
+constexpr double FailedOnWorkerPenalty = 1000;
+/// Tasks that stay unplaced longer than this count as a need for more hosts.
+/// Before that, the pool sizes already follow the demand.
+constexpr Duration UnplacedDelay = std::chrono::milliseconds(500);
+/// Maximum number of workers in a query; enough for a step of usual width.
 constexpr std::size_t WorkersPerQuery = 30;
-/// A permit must hold until the start has arrived: the journal's record and
-/// the way.
+/// A permit must stay valid until the worker receives the start: this covers
+/// the write to the journal and the network time.
 constexpr Duration PermitMargin = std::chrono::milliseconds(300);
-/// Weight of a new job in the mean of a queue's work.
-constexpr double MeanWeight = 0.05;
+/// Weight of a new job in the moving average of a queue's work.
+constexpr double MeanWorkWeight = 0.05;
 
-bool before(const auto &Left, const auto &Right) {
-  return std::tie(Left.Priority, Left.Order, Left.Owner->id()) <
-         std::tie(Right.Priority, Right.Order, Right.Owner->id());
+bool ranksBefore(const auto &Left, const auto &Right) {
+  return std::tie(Left.Priority, Left.JobRank, Left.ParentJob->id()) <
+         std::tie(Right.Priority, Right.JobRank, Right.ParentJob->id());
 }
 
-unsigned sameStep(const WorkerState &Worker, const TaskRef &Task) {
-  TaskRef First = Task;
-  First.Index = 0;
+unsigned countRunsOfStep(const WorkerState &Worker, const TaskRef &Task) {
+  TaskRef FirstTask = Task;
+  FirstTask.Index = 0;
   unsigned Count = 0;
-  for (auto It = Worker.Runs.lower_bound(First);
-       It != Worker.Runs.end() && It->first.Job == Task.Job &&
-       It->first.Occurrence == Task.Occurrence && It->first.Step == Task.Step;
-       ++It) {
+  for (auto RunIt = Worker.Runs.lower_bound(FirstTask);
+       RunIt != Worker.Runs.end() && RunIt->first.Job == Task.Job &&
+       RunIt->first.Occurrence == Task.Occurrence &&
+       RunIt->first.Step == Task.Step;
+       ++RunIt) {
     ++Count;
   }
   return Count;
 }
 
-/// Larger is better. Work is packed, so that other workers stay free for
-/// maintenance and moves; lasting work shares the workers that have some.
-double fitness(const WorkerState &Worker, const StepSpec &Step) {
+/// Score of a worker for a step; larger is better. Work is bin-packed so that
+/// other workers stay free for maintenance and moves. Lasting runs and fillers
+/// prefer workers that already have lasting runs.
+double scoreWorker(const WorkerState &Worker, const StepSpec &Step) {
   const double Capacity = static_cast<double>(
       std::max<std::int64_t>(1, Worker.Record.Capacity.CpuMilli));
-  const double Used = static_cast<double>(Worker.Claimed.CpuMilli) / Capacity;
-  double Score = Used;
+  const double Utilization =
+      static_cast<double>(Worker.ClaimedResources.CpuMilli) / Capacity;
+  double Score = Utilization;
   if (Step.Lasting || Step.Filler) {
     Score += static_cast<double>(
         std::count_if(Worker.Runs.begin(), Worker.Runs.end(),
                       [](const auto &Run) { return Run.second.Lasting; }));
   }
   if (!Step.PreferredRack.empty() && Worker.hasLabel(Step.PreferredRack)) {
-    Score += PreferredRackGain;
+    Score += PreferredRackBonus;
   }
   return Score;
 }
 
 } // namespace
 
-void Dispatcher::noteArrival(const Job &Owner) {
-  if (Owner.spec().Steps.empty()) {
-    return; // settled long ago
+void Dispatcher::updateMeanWork(const Job &NewJob) {
+  if (NewJob.spec().Steps.empty()) {
+    return; // a job that closed long ago has no steps
   }
-  double &Mean = MeanWork[Owner.Record.Accepted.Queue];
-  const double Work = workOf(Owner.spec());
-  Mean = Mean == 0 ? Work : Mean + MeanWeight * (Work - Mean);
+  double &Mean = MeanWorkByQueue[NewJob.Record.Accepted.Queue];
+  const double Work = estimatedWork(NewJob.spec());
+  Mean = Mean == 0 ? Work : Mean + MeanWorkWeight * (Work - Mean);
 }
 
-void Dispatcher::collect(const Job &Owner, const Queue &From,
-                         std::vector<Candidate> &Into) const {
+void Dispatcher::appendWaitingSteps(
+    const Job &ParentJob, const Queue &JobQueue,
+    std::vector<WaitingStep> &Candidates) const {
   const WallTime Now = Time.wallNow();
-  const auto Mean = MeanWork.find(From.Name);
-  for (unsigned K = 0; K < Owner.spec().occurrences(); ++K) {
-    if (Owner.spec().Times.Repeats > 0 && Owner.dueAt(K) > Now) {
+  const auto MeanIt = MeanWorkByQueue.find(JobQueue.Name);
+  for (unsigned Occurrence = 0; Occurrence < ParentJob.spec().occurrences();
+       ++Occurrence) {
+    if (ParentJob.spec().Times.Repeats > 0 &&
+        ParentJob.dueAt(Occurrence) > Now) {
       break;
     }
-    const auto Found = Owner.Record.Occurrences.find(K);
-    std::optional<Rank> Order;
-    for (unsigned Step = 0; Step < Owner.spec().Steps.size(); ++Step) {
-      const bool Waits =
-          Found == Owner.Record.Occurrences.end() ||
-          std::any_of(Found->second[Step].begin(), Found->second[Step].end(),
+    const auto OccurrenceIt = ParentJob.Record.Occurrences.find(Occurrence);
+    std::optional<Rank> JobRank;
+    for (unsigned Step = 0; Step < ParentJob.spec().Steps.size(); ++Step) {
+      const bool HasWaitingTask =
+          OccurrenceIt == ParentJob.Record.Occurrences.end() ||
+          std::any_of(OccurrenceIt->second[Step].begin(),
+                      OccurrenceIt->second[Step].end(),
                       [](const TaskRecord &Task) {
                         return Task.Phase == TaskPhase::Waiting;
                       });
-      if (!Waits || !Owner.ready(K, Step)) {
+      if (!HasWaitingTask || !ParentJob.ready(Occurrence, Step)) {
         continue;
       }
-      if (!Order) {
-        Order = rankOf(Owner, K, From,
-                       Mean == MeanWork.end() ? 0 : Mean->second, Now);
+      if (!JobRank) {
+        JobRank = computeRank(
+            ParentJob, Occurrence, JobQueue,
+            MeanIt == MeanWorkByQueue.end() ? 0 : MeanIt->second, Now);
       }
-      Into.push_back(
-          {&Owner, K, Step, From.Priority, From.Pool, From.Policy, *Order});
+      Candidates.push_back({&ParentJob, Occurrence, Step, JobQueue.Priority,
+                            JobQueue.Pool, JobQueue.Policy, *JobRank});
     }
   }
 }
 
-std::vector<Dispatcher::Candidate> Dispatcher::candidates() const {
-  std::vector<Candidate> Waiting;
+std::vector<Dispatcher::WaitingStep> Dispatcher::findWaitingSteps() const {
+  std::vector<WaitingStep> Candidates;
   for (const JobId &Id : OpenJobs) {
-    const Job *Owner = Book->find(Id);
-    if (Owner == nullptr || !Owner->open() || CloseProposed.contains(Id)) {
+    const Job *ParentJob = Book->find(Id);
+    if (ParentJob == nullptr || !ParentJob->open() ||
+        ClosingJobs.contains(Id)) {
       continue;
     }
-    if (const Queue *From = Config->find(Owner->Record.Accepted.Queue)) {
-      collect(*Owner, *From, Waiting);
+    if (const Queue *JobQueue =
+            Config->find(ParentJob->Record.Accepted.Queue)) {
+      appendWaitingSteps(*ParentJob, *JobQueue, Candidates);
       continue;
     }
-    // The queue is gone from the configuration; its jobs still end.
-    Queue Gone;
-    Gone.Pool = Owner->Record.Accepted.Pool;
-    collect(*Owner, Gone, Waiting);
+    // The queue was removed from the configuration; its jobs still run to their
+    // end.
+    Queue RemovedQueue;
+    RemovedQueue.Pool = ParentJob->Record.Accepted.Pool;
+    appendWaitingSteps(*ParentJob, RemovedQueue, Candidates);
   }
-  std::sort(Waiting.begin(), Waiting.end(),
-            [](const Candidate &Left, const Candidate &Right) {
-              return before(Left, Right);
+  std::sort(Candidates.begin(), Candidates.end(),
+            [](const WaitingStep &Left, const WaitingStep &Right) {
+              return ranksBefore(Left, Right);
             });
-  return Waiting;
+  return Candidates;
 }
 
 void Dispatcher::plan(Instant Now) {
   if (Config == nullptr) {
     return;
   }
-  PoolWorkers Usable;
+  WorkersByPool UsableByPool;
   for (auto &[Id, Worker] : Workers) {
-    if (Worker.usable(Now)) {
-      Usable[Worker.Record.Pool].push_back(&Worker);
+    if (Worker.isUsable(Now)) {
+      UsableByPool[Worker.Record.Pool].push_back(&Worker);
     }
   }
-  const std::vector<Candidate> Waiting = candidates();
-  const std::map<StepRef, Instant> Before = std::exchange(UnplacedSince, {});
-  Lacking.clear();
-  for (const Candidate &Which : Waiting) {
-    const std::vector<WorkerState *> &Among = Usable[Which.Pool];
-    const std::size_t Left = placeStep(Which, Among);
-    if (Left > 0 && !Among.empty()) {
-      const auto Waited = Before.find(stepOf(Which.task(0)));
-      noteUnplaced(Which, Left, Waited == Before.end() ? Now : Waited->second,
-                   Among);
+  const std::vector<WaitingStep> Candidates = findWaitingSteps();
+  const std::map<StepRef, Instant> UnplacedBefore =
+      std::exchange(UnplacedSince, {});
+  RequiredHosts.clear();
+  for (const WaitingStep &Candidate : Candidates) {
+    const std::vector<WorkerState *> &UsableWorkers =
+        UsableByPool[Candidate.Pool];
+    const std::size_t UnplacedTasks = placeStep(Candidate, UsableWorkers);
+    if (UnplacedTasks > 0 && !UsableWorkers.empty()) {
+      const auto UnplacedIt = UnplacedBefore.find(stepOf(Candidate.task(0)));
+      recordUnplaced(Candidate, UnplacedTasks,
+                     UnplacedIt == UnplacedBefore.end() ? Now
+                                                        : UnplacedIt->second,
+                     UsableWorkers);
     }
   }
   if (Now >= NextQueryAt) {
-    queryPermits(Waiting, Usable, Now);
+    queryPermits(Candidates, UsableByPool, Now);
   }
 }
 
-std::vector<unsigned> Dispatcher::waitingTasks(const Candidate &Which) const {
-  std::vector<unsigned> Waiting;
-  for (unsigned Index = 0; Index < Which.spec().Count; ++Index) {
-    const TaskRecord *Task = Which.record(Index);
-    const bool Waits = Task == nullptr || Task->Phase == TaskPhase::Waiting;
-    if (Waits && !proposed(Which.task(Index)) &&
-        !EndingAt.contains(Which.task(Index))) {
-      Waiting.push_back(Index);
+std::vector<unsigned>
+Dispatcher::waitingTasks(const WaitingStep &Candidate) const {
+  std::vector<unsigned> TaskIndexes;
+  for (unsigned Index = 0; Index < Candidate.spec().Count; ++Index) {
+    const TaskRecord *Task = Candidate.record(Index);
+    const bool IsWaiting = Task == nullptr || Task->Phase == TaskPhase::Waiting;
+    if (IsWaiting && !isProposed(Candidate.task(Index)) &&
+        !WorkerOfEndingRun.contains(Candidate.task(Index))) {
+      TaskIndexes.push_back(Index);
     }
   }
-  return Waiting;
+  return TaskIndexes;
 }
 
-void Dispatcher::queryPermits(const std::vector<Candidate> &Waiting,
-                              const PoolWorkers &Usable, Instant Now) {
-  for (const Candidate &Which : Waiting) {
-    const auto Among = Usable.find(Which.Pool);
-    const StepRef Step = stepOf(Which.task(0));
-    if (QueriesOut.size() >= QueryLimit) {
+void Dispatcher::queryPermits(const std::vector<WaitingStep> &Candidates,
+                              const WorkersByPool &UsableByPool, Instant Now) {
+  for (const WaitingStep &Candidate : Candidates) {
+    const auto PoolIt = UsableByPool.find(Candidate.Pool);
+    const StepRef Step = stepOf(Candidate.task(0));
+    if (QueriesInFlight.size() >= QueryLimit) {
       return;
     }
-    if (!Which.Policy || Among == Usable.end() || QueriesOut.contains(Step) ||
-        waitingTasks(Which).empty()) {
+    if (!Candidate.Policy || PoolIt == UsableByPool.end() ||
+        QueriesInFlight.contains(Step) || waitingTasks(Candidate).empty()) {
       continue;
     }
-    // A decision takes the same time for few workers: those that are full now
-    // are asked about with the others, as they may soon have room.
-    PermitQuery Ask;
-    Ask.Step = Step;
-    std::vector<WorkerLife> Full;
-    for (const WorkerState *Worker : Among->second) {
-      if (Permits.worthAsking(Step, Worker->Record.Life, Now + PermitMargin)) {
-        const bool Room = claimOf(Which.spec()).fitsInto(Worker->room());
-        (Room ? Ask.Workers : Full).push_back(Worker->Record.Life);
+    // A decision about a few more workers takes about the same time, so the
+    // query also names workers that are full now but may have room soon.
+    PermitQuery Query;
+    Query.Step = Step;
+    std::vector<WorkerLife> FullWorkers;
+    for (const WorkerState *Worker : PoolIt->second) {
+      if (Permits.needsQuery(Step, Worker->Record.Life, Now + PermitMargin)) {
+        const bool HasRoom =
+            claimFor(Candidate.spec()).fitsInto(Worker->freeResources());
+        (HasRoom ? Query.Workers : FullWorkers).push_back(Worker->Record.Life);
       }
     }
-    if (Ask.Workers.empty()) {
+    if (Query.Workers.empty()) {
       continue;
     }
-    Ask.Workers.insert(Ask.Workers.end(), Full.begin(), Full.end());
-    Ask.Workers.resize(std::min(Ask.Workers.size(), WorkersPerQuery));
-    Ask.Expected =
-        Which.Policy->DecisionTime +
-        Which.Policy->TimePerWorker * static_cast<int>(Ask.Workers.size());
-    QueriesOut.insert(Step);
-    Queries.push_back(std::move(Ask));
+    Query.Workers.insert(Query.Workers.end(), FullWorkers.begin(),
+                         FullWorkers.end());
+    Query.Workers.resize(std::min(Query.Workers.size(), WorkersPerQuery));
+    Query.Expected = Candidate.Policy->DecisionTime +
+                     Candidate.Policy->TimePerWorker *
+                         static_cast<int>(Query.Workers.size());
+    QueriesInFlight.insert(Step);
+    Queries.push_back(std::move(Query));
   }
 }
 
-void Dispatcher::noteUnplaced(const Candidate &Which, std::size_t Tasks,
-                              Instant Since,
-                              const std::vector<WorkerState *> &Among) {
-  UnplacedSince[stepOf(Which.task(0))] = Since;
-  if (Time.now() - Since < UnplacedPatience) {
+void Dispatcher::recordUnplaced(
+    const WaitingStep &Candidate, std::size_t UnplacedTasks,
+    Instant WaitingSince, const std::vector<WorkerState *> &UsableWorkers) {
+  UnplacedSince[stepOf(Candidate.task(0))] = WaitingSince;
+  if (Time.now() - WaitingSince < UnplacedDelay) {
     return;
   }
-  const Resources &OfEach = Among.front()->Record.Capacity;
-  const Resources Claim = claimOf(Which.spec());
-  const auto InOne = [](std::int64_t Need, std::int64_t Room) {
+  const Resources &HostCapacity = UsableWorkers.front()->Record.Capacity;
+  const Resources Claim = claimFor(Candidate.spec());
+  const auto FitCount = [](std::int64_t Need, std::int64_t Capacity) {
     return Need <= 0 ? std::numeric_limits<std::int64_t>::max()
-                     : std::max<std::int64_t>(1, Room / Need);
+                     : std::max<std::int64_t>(1, Capacity / Need);
   };
-  const auto PerHost = static_cast<std::size_t>(
-      std::min(InOne(Claim.CpuMilli, OfEach.CpuMilli),
-               InOne(Claim.MemoryMb, OfEach.MemoryMb)));
-  unsigned &Hosts = Lacking[Which.Pool];
-  Hosts = std::max(Hosts, static_cast<unsigned>(Among.size())) +
-          static_cast<unsigned>((Tasks - 1) / PerHost + 1);
+  const auto TasksPerHost = static_cast<std::size_t>(
+      std::min(FitCount(Claim.CpuMilli, HostCapacity.CpuMilli),
+               FitCount(Claim.MemoryMb, HostCapacity.MemoryMb)));
+  unsigned &PoolHosts = RequiredHosts[Candidate.Pool];
+  PoolHosts = std::max(PoolHosts, static_cast<unsigned>(UsableWorkers.size())) +
+              static_cast<unsigned>((UnplacedTasks - 1) / TasksPerHost + 1);
 }
 
-std::size_t Dispatcher::placeStep(const Candidate &Which,
-                                  const std::vector<WorkerState *> &Among) {
-  const std::vector<unsigned> Waiting = waitingTasks(Which);
-  if (Which.spec().Gang) {
-    return placeGang(Which, Waiting, Among);
+std::size_t
+Dispatcher::placeStep(const WaitingStep &Candidate,
+                      const std::vector<WorkerState *> &UsableWorkers) {
+  const std::vector<unsigned> TaskIndexes = waitingTasks(Candidate);
+  if (Candidate.spec().Gang) {
+    return placeGang(Candidate, TaskIndexes, UsableWorkers);
   }
-  std::size_t Placed = 0;
-  for (const unsigned Index : Waiting) {
-    WorkerState *Worker = choose(Which, Index, Among);
+  std::size_t PlacedCount = 0;
+  for (const unsigned Index : TaskIndexes) {
+    WorkerState *Worker = chooseWorker(Candidate, Index, UsableWorkers);
     if (Worker == nullptr) {
-      break; // tasks of one step need the same
+      break; // all tasks of a step need the same resources
     }
-    const TaskRecord *Task = Which.record(Index);
-    propose(Which, Index, *Worker, Task == nullptr ? 1 : Task->Run + 1);
-    ++Placed;
+    const TaskRecord *Task = Candidate.record(Index);
+    proposePlacement(Candidate, Index, *Worker,
+                     Task == nullptr ? 1 : Task->Run + 1);
+    ++PlacedCount;
   }
-  return Waiting.size() - Placed;
+  return TaskIndexes.size() - PlacedCount;
 }
 
-std::size_t Dispatcher::placeGang(const Candidate &Which,
-                                  const std::vector<unsigned> &Indexes,
-                                  const std::vector<WorkerState *> &Among) {
-  if (Indexes.size() != Which.spec().Count) {
-    return 0; // members of an earlier run are still about
+std::size_t
+Dispatcher::placeGang(const WaitingStep &Candidate,
+                      const std::vector<unsigned> &TaskIndexes,
+                      const std::vector<WorkerState *> &UsableWorkers) {
+  if (TaskIndexes.size() != Candidate.spec().Count) {
+    return 0; // members of an earlier run have not ended yet
   }
-  std::vector<WorkerState *> Chosen;
-  if (Which.spec().SameRack) {
-    // Racks are labels; the smallest group that can take all members is one.
-    std::map<std::string, std::vector<WorkerState *>> ByLabel;
-    for (WorkerState *Worker : Among) {
+  std::vector<WorkerState *> GangWorkers;
+  if (Candidate.spec().SameRack) {
+    // Racks are labels. The smallest group of workers with a common label that
+    // has room for all members is taken as the rack.
+    std::map<std::string, std::vector<WorkerState *>> WorkersByLabel;
+    for (WorkerState *Worker : UsableWorkers) {
       for (const std::string &Label : Worker->Record.Labels) {
-        ByLabel[Label].push_back(Worker);
+        WorkersByLabel[Label].push_back(Worker);
       }
     }
-    std::size_t Smallest = Among.size();
-    for (const auto &[Label, Group] : ByLabel) {
-      if (Group.size() < Smallest) {
-        if (auto Fits = chooseGang(Which, Indexes, Group); !Fits.empty()) {
-          Chosen = std::move(Fits);
-          Smallest = Group.size();
+    std::size_t SmallestSize = UsableWorkers.size();
+    for (const auto &[Label, RackWorkers] : WorkersByLabel) {
+      if (RackWorkers.size() < SmallestSize) {
+        if (auto RackChoice =
+                chooseGangWorkers(Candidate, TaskIndexes, RackWorkers);
+            !RackChoice.empty()) {
+          GangWorkers = std::move(RackChoice);
+          SmallestSize = RackWorkers.size();
         }
       }
     }
   }
-  if (Chosen.empty()) {
-    Chosen = chooseGang(Which, Indexes, Among);
+  if (GangWorkers.empty()) {
+    GangWorkers = chooseGangWorkers(Candidate, TaskIndexes, UsableWorkers);
   }
-  if (Chosen.empty()) {
-    return Indexes.size();
+  if (GangWorkers.empty()) {
+    return TaskIndexes.size();
   }
   std::uint32_t Run = 1;
-  for (const unsigned Index : Indexes) {
-    const TaskRecord *Task = Which.record(Index);
+  for (const unsigned Index : TaskIndexes) {
+    const TaskRecord *Task = Candidate.record(Index);
     Run = std::max(Run, Task == nullptr ? 1 : Task->Run + 1);
   }
-  for (std::size_t Member = 0; Member < Chosen.size(); ++Member) {
-    propose(Which, Indexes[Member], *Chosen[Member], Run);
+  for (std::size_t Member = 0; Member < GangWorkers.size(); ++Member) {
+    proposePlacement(Candidate, TaskIndexes[Member], *GangWorkers[Member], Run);
   }
   return 0;
 }
 
 std::vector<WorkerState *>
-Dispatcher::chooseGang(const Candidate &Which,
-                       const std::vector<unsigned> &Indexes,
-                       const std::vector<WorkerState *> &Among) {
-  std::vector<WorkerState *> Chosen;
-  for (const unsigned Index : Indexes) {
-    WorkerState *Worker = choose(Which, Index, Among);
+Dispatcher::chooseGangWorkers(const WaitingStep &Candidate,
+                              const std::vector<unsigned> &TaskIndexes,
+                              const std::vector<WorkerState *> &UsableWorkers) {
+  std::vector<WorkerState *> GangWorkers;
+  for (const unsigned Index : TaskIndexes) {
+    WorkerState *Worker = chooseWorker(Candidate, Index, UsableWorkers);
     if (Worker == nullptr) {
       break;
     }
-    RunState Held;
-    Held.Claim = claimOf(Which.spec());
-    Worker->Claimed += Held.Claim;
-    Worker->Runs[Which.task(Index)] = Held;
-    Chosen.push_back(Worker);
+    RunState Reservation;
+    Reservation.Claim = claimFor(Candidate.spec());
+    Worker->ClaimedResources += Reservation.Claim;
+    Worker->Runs[Candidate.task(Index)] = Reservation;
+    GangWorkers.push_back(Worker);
   }
-  for (std::size_t Member = 0; Member < Chosen.size(); ++Member) {
-    const TaskRef Task = Which.task(Indexes[Member]);
-    Chosen[Member]->Claimed -= Chosen[Member]->Runs[Task].Claim;
-    Chosen[Member]->Runs.erase(Task);
+  for (std::size_t Member = 0; Member < GangWorkers.size(); ++Member) {
+    const TaskRef Task = Candidate.task(TaskIndexes[Member]);
+    GangWorkers[Member]->ClaimedResources -=
+        GangWorkers[Member]->Runs[Task].Claim;
+    GangWorkers[Member]->Runs.erase(Task);
   }
-  return Chosen.size() == Indexes.size() ? Chosen
-                                         : std::vector<WorkerState *>();
+  return GangWorkers.size() == TaskIndexes.size()
+             ? GangWorkers
+             : std::vector<WorkerState *>();
 }
 
-WorkerState *Dispatcher::choose(const Candidate &Which, unsigned Index,
-                                const std::vector<WorkerState *> &Among) const {
-  const StepSpec &Step = Which.spec();
-  const TaskRef Task = Which.task(Index);
-  const Resources Claim = claimOf(Step);
-  const auto Failed = LastFailedOn.find(Task);
+WorkerState *Dispatcher::chooseWorker(
+    const WaitingStep &Candidate, unsigned Index,
+    const std::vector<WorkerState *> &UsableWorkers) const {
+  const StepSpec &Step = Candidate.spec();
+  const TaskRef Task = Candidate.task(Index);
+  const Resources Claim = claimFor(Step);
+  const auto FailedIt = LastFailedWorker.find(Task);
   const Instant PermitUntil = Time.now() + PermitMargin;
-  WorkerState *Best = nullptr;
+  WorkerState *BestWorker = nullptr;
   double BestScore = 0;
-  for (WorkerState *Worker : Among) {
-    if (!Claim.fitsInto(Worker->room()) || Worker->Runs.contains(Task) ||
+  for (WorkerState *Worker : UsableWorkers) {
+    if (!Claim.fitsInto(Worker->freeResources()) ||
+        Worker->Runs.contains(Task) ||
         (!Step.RequiredLabel.empty() &&
          !Worker->hasLabel(Step.RequiredLabel)) ||
         (Step.MaxPerWorker > 0 &&
-         sameStep(*Worker, Task) >= Step.MaxPerWorker) ||
-        (Which.Policy && Permits.find(stepOf(Task), Worker->Record.Life,
-                                      PermitUntil) == nullptr)) {
+         countRunsOfStep(*Worker, Task) >= Step.MaxPerWorker) ||
+        (Candidate.Policy &&
+         Permits.findTicket(stepOf(Task), Worker->Record.Life, PermitUntil) ==
+             nullptr)) {
       continue;
     }
-    double Score = fitness(*Worker, Step);
-    if (Failed != LastFailedOn.end() &&
-        Failed->second == Worker->Record.Life.Id) {
-      Score -= FailedTherePenalty;
+    double Score = scoreWorker(*Worker, Step);
+    if (FailedIt != LastFailedWorker.end() &&
+        FailedIt->second == Worker->Record.Life.Id) {
+      Score -= FailedOnWorkerPenalty;
     }
-    if (Best == nullptr || Score > BestScore) {
-      Best = Worker;
+    if (BestWorker == nullptr || Score > BestScore) {
+      BestWorker = Worker;
       BestScore = Score;
     }
   }
-  return Best;
+  return BestWorker;
 }
 
-void Dispatcher::propose(const Candidate &Which, unsigned Index,
-                         WorkerState &Worker, std::uint32_t Run) {
-  const TaskRef Task = Which.task(Index);
-  RunState State;
-  State.Run = Run;
-  State.PlacedBorn = Worker.Record.Life.Born;
-  State.Claim = claimOf(Which.spec());
-  State.Lasting = Which.spec().Lasting;
-  State.Filler = Which.spec().Filler;
-  State.TailObjective = Which.spec().TailObjective;
+void Dispatcher::proposePlacement(const WaitingStep &Candidate, unsigned Index,
+                                  WorkerState &Worker, std::uint32_t Run) {
+  const TaskRef Task = Candidate.task(Index);
+  RunState NewRun;
+  NewRun.Number = Run;
+  NewRun.WorkerBorn = Worker.Record.Life.Born;
+  NewRun.Claim = claimFor(Candidate.spec());
+  NewRun.Lasting = Candidate.spec().Lasting;
+  NewRun.Filler = Candidate.spec().Filler;
+  NewRun.TailObjective = Candidate.spec().TailObjective;
   if (const std::string *Ticket =
-          Permits.find(stepOf(Task), Worker.Record.Life, Time.now())) {
-    State.Ticket = *Ticket;
+          Permits.findTicket(stepOf(Task), Worker.Record.Life, Time.now())) {
+    NewRun.Ticket = *Ticket;
   }
-  Worker.Claimed += State.Claim;
-  Worker.Runs[Task] = State;
-  Proposed.insert(Task);
+  Worker.ClaimedResources += NewRun.Claim;
+  Worker.Runs[Task] = NewRun;
+  ProposedTasks.insert(Task);
   Events.emplace_back(jobs::TaskPlaced{Task, Run, Worker.Record.Life});
 }
 
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What the workers' answers mean for their runs.
+/// Handles the workers' replies to orders and their reports of running and
+/// ended tasks.
 
 #include "balsamlatch/Dispatch/Dispatcher.h"
 
@@ -12,158 +13,166 @@
 
 namespace {
 
-/// A worker that failed this many runs in a row, of more than one job, is
-/// avoided for a while.
-constexpr unsigned FailuresToAvoid = 3;
-constexpr Duration FirstAvoidance = std::chrono::seconds(2);
+/// A worker on which this many consecutive runs of more than one job have
+/// failed gets no new work for a while.
+constexpr unsigned AvoidanceThreshold = 3;
+constexpr Duration InitialAvoidance = std::chrono::seconds(2);
 constexpr unsigned MaxAvoidanceDoublings = 3;
-/// A worker that has no room, though it should have, is left alone so long.
-constexpr Duration NoRoomPause = std::chrono::milliseconds(100);
-constexpr Duration UnhealthyPause = std::chrono::milliseconds(500);
-/// Time from a pace order that wasn't carried out to the next one.
-constexpr Duration PaceRetry = std::chrono::milliseconds(200);
-/// Time from a query that wasn't answered to the next one.
-constexpr Duration QueryRetry = std::chrono::milliseconds(100);
-/// Time from a hold without answer to the next one.
-constexpr Duration SilentHoldPeriod = std::chrono::milliseconds(250);
-/// Time between holds while the journal is behind.
-constexpr Duration UnrecordedHoldPeriod = std::chrono::milliseconds(500);
+/// Time without new work for a worker that refused a run for lack of resources,
+/// although the dispatcher counted enough free ones.
+constexpr Duration NoRoomDelay = std::chrono::milliseconds(100);
+constexpr Duration UnhealthyDelay = std::chrono::milliseconds(500);
+/// Delay before a pace order that failed is repeated.
+constexpr Duration PaceRetryDelay = std::chrono::milliseconds(200);
+/// Delay before the next permit query after one without a reply.
+constexpr Duration QueryRetryDelay = std::chrono::milliseconds(100);
+/// Delay before the next hold after one without a reply.
+constexpr Duration UnresponsiveHoldPeriod = std::chrono::milliseconds(250);
+/// Time between holds while reported ends are not recorded yet.
+constexpr Duration JournalLagHoldPeriod = std::chrono::milliseconds(500);
 
 } // namespace
 
 void Dispatcher::holdAnswered(const std::string &WorkerId, Instant SentAt,
                               OrderOutcome Outcome, const HoldReport &Report) {
-  const auto Found = Workers.find(WorkerId);
-  if (Book == nullptr || Found == Workers.end()) {
+  const auto WorkerIt = Workers.find(WorkerId);
+  if (Book == nullptr || WorkerIt == Workers.end()) {
     return;
   }
-  WorkerState &Worker = Found->second;
+  WorkerState &Worker = WorkerIt->second;
   const Instant Now = Time.now();
   Worker.HoldInFlight = false;
   if (Outcome != OrderOutcome::Done) {
     Fenced = Fenced || Outcome == OrderOutcome::Fenced;
-    if (!Worker.Silent && Worker.Contacted) {
+    if (!Worker.IsUnresponsive && Worker.HasReported) {
       Log.write(LogLevel::Info, "worker-silent",
                 {{"worker", WorkerId}, {"outcome", static_cast<int>(Outcome)}});
     }
-    Worker.Silent = true;
-    Worker.NextHoldAt = Now + SilentHoldPeriod;
+    Worker.IsUnresponsive = true;
+    Worker.NextHoldAt = Now + UnresponsiveHoldPeriod;
     return;
   }
   if (Report.Born != 0 && Report.Born < Worker.Record.Life.Born) {
-    Worker.NextHoldAt = Now; // an answer of an earlier life
+    Worker.NextHoldAt = Now; // the reply is from an earlier life
     return;
   }
   if (Report.Born > Worker.Record.Life.Born) {
-    takeLife(Worker, Report.Born);
+    setWorkerLife(Worker, Report.Born);
   }
-  PlanNeeded = PlanNeeded || Worker.Silent || !Worker.Contacted;
-  if (!Worker.Contacted) {
-    // The worker has this term's token now, so no earlier holder can renew
-    // there any longer.
-    Worker.LapsedAt = {};
-    extendLapse(Worker, Now);
+  PlanNeeded = PlanNeeded || Worker.IsUnresponsive || !Worker.HasReported;
+  if (!Worker.HasReported) {
+    // The worker now knows the fencing token of this term, so it refuses
+    // renewals by earlier lease holders.
+    Worker.LeasesExpireAt = {};
+    extendLeaseExpiry(Worker, Now);
   }
-  Worker.Silent = false;
-  Worker.Contacted = true;
+  Worker.IsUnresponsive = false;
+  Worker.HasReported = true;
   Worker.Clock = Report.Clock;
-  Worker.ClockAt = Now;
+  Worker.ClockReceivedAt = Now;
   Worker.LastReportAt = Now;
-  takeEnds(Worker, Report);
-  takeRunning(Worker, Report, SentAt);
+  processEndedRuns(Worker, Report);
+  processRunningTasks(Worker, Report, SentAt);
   adjustPace(Worker, Now);
-  Worker.NextHoldAt =
-      Now + (Worker.Runs.empty() ? Settings.IdleHoldPeriod : Settings.HoldGap);
+  Worker.NextHoldAt = Now + (Worker.Runs.empty() ? Settings.IdleHoldPeriod
+                                                 : Settings.HoldPeriod);
   if (Worker.EndsSeen != Worker.EndsRecorded) {
-    Worker.NextHoldAt = Now + UnrecordedHoldPeriod;
+    Worker.NextHoldAt = Now + JournalLagHoldPeriod;
   }
 }
 
-void Dispatcher::takeEnds(WorkerState &Worker, const HoldReport &Report) {
-  for (const EndedTask &Ended : Report.Ended) {
-    if (Ended.Number <= Worker.EndsSeen) {
+void Dispatcher::processEndedRuns(WorkerState &Worker,
+                                  const HoldReport &Report) {
+  for (const EndedTask &EndedRun : Report.Ended) {
+    if (EndedRun.Number <= Worker.EndsSeen) {
       continue;
     }
-    Worker.EndsSeen = Ended.Number;
+    Worker.EndsSeen = EndedRun.Number;
     PlanNeeded = true;
-    const auto Found = Worker.Runs.find(Ended.Task);
-    if (Found == Worker.Runs.end() || Found->second.Run != Ended.Run) {
-      takeLateEnd(Ended);
+    const auto RunIt = Worker.Runs.find(EndedRun.Task);
+    if (RunIt == Worker.Runs.end() || RunIt->second.Number != EndedRun.Run) {
+      processLateEnd(EndedRun);
       continue;
     }
-    noteHealth(Worker, Ended.Task, Ended.How);
-    proposeEnd(Worker, Ended.Task, Found->second, Ended.How, Ended.Checkpoint);
+    updateWorkerHealth(Worker, EndedRun.Task, EndedRun.How);
+    proposeEnd(Worker, EndedRun.Task, RunIt->second, EndedRun.How,
+               EndedRun.Checkpoint);
   }
 }
 
-void Dispatcher::takeLateEnd(const EndedTask &Ended) {
-  const jobs::Job *Owner = Book->find(Ended.Task.Job);
+void Dispatcher::processLateEnd(const EndedTask &EndedRun) {
+  const jobs::Job *Job = Book->find(EndedRun.Task.Job);
   const jobs::TaskRecord *Task =
-      Owner == nullptr ? nullptr : Owner->find(Ended.Task);
-  if (Ended.How != RunEnd::Done || Task == nullptr ||
-      Task->Phase == jobs::TaskPhase::Done || Task->Run != Ended.Run ||
-      Owner->spec().Steps[Ended.Task.Step].Lasting || proposed(Ended.Task)) {
+      Job == nullptr ? nullptr : Job->find(EndedRun.Task);
+  if (EndedRun.How != RunEnd::Done || Task == nullptr ||
+      Task->Phase == jobs::TaskPhase::Done || Task->Run != EndedRun.Run ||
+      Job->spec().Steps[EndedRun.Task.Step].Lasting ||
+      isProposed(EndedRun.Task)) {
     return;
   }
-  // Given up as lost, but it was done and its task has not run again.
-  Events.emplace_back(
-      jobs::TaskEnded{Ended.Task, Ended.Run, Ended.How, Ended.Checkpoint});
+  // The run was declared lost, but it had completed and its task has not run
+  // again since.
+  Events.emplace_back(jobs::TaskEnded{EndedRun.Task, EndedRun.Run, EndedRun.How,
+                                      EndedRun.Checkpoint});
 }
 
-void Dispatcher::noteHealth(WorkerState &Worker, const TaskRef &Task,
-                            RunEnd How) {
-  if (How == RunEnd::Done) {
-    Worker.FailuresInRow = 0;
-    Worker.Suspicions = 0;
-    LastFailedOn.erase(Task);
+void Dispatcher::updateWorkerHealth(WorkerState &Worker, const TaskRef &Task,
+                                    RunEnd End) {
+  if (End == RunEnd::Done) {
+    Worker.ConsecutiveFailures = 0;
+    Worker.AvoidanceDoublings = 0;
+    LastFailedWorker.erase(Task);
     return;
   }
-  if (How != RunEnd::Failed) {
+  if (End != RunEnd::Failed) {
     return;
   }
-  LastFailedOn[Task] = Worker.Record.Life.Id;
-  const bool OtherJob = Worker.LastFailedJob != Task.Job;
+  LastFailedWorker[Task] = Worker.Record.Life.Id;
+  const bool IsOtherJob = Worker.LastFailedJob != Task.Job;
   Worker.LastFailedJob = Task.Job;
-  Worker.FailuresInRow += OtherJob || Worker.FailuresInRow == 0 ? 1 : 0;
-  if (Worker.FailuresInRow < FailuresToAvoid) {
+  Worker.ConsecutiveFailures +=
+      IsOtherJob || Worker.ConsecutiveFailures == 0 ? 1 : 0;
+  if (Worker.ConsecutiveFailures < AvoidanceThreshold) {
     return;
   }
-  Worker.AvoidUntil = Time.now() + FirstAvoidance * (1U << Worker.Suspicions);
-  Worker.Suspicions = std::min(Worker.Suspicions + 1, MaxAvoidanceDoublings);
-  Worker.FailuresInRow = FailuresToAvoid - 1;
+  Worker.AvoidUntil =
+      Time.now() + InitialAvoidance * (1U << Worker.AvoidanceDoublings);
+  Worker.AvoidanceDoublings =
+      std::min(Worker.AvoidanceDoublings + 1, MaxAvoidanceDoublings);
+  Worker.ConsecutiveFailures = AvoidanceThreshold - 1;
   Log.write(LogLevel::Warning, "worker-avoided",
             {{"worker", Worker.Record.Life.Id},
-             {"why", "runs of several jobs failed one after the other"}});
+             {"why", "runs of several jobs failed one after another"}});
 }
 
-void Dispatcher::takeRunning(WorkerState &Worker, const HoldReport &Report,
-                             Instant SentAt) {
-  std::set<TaskRef> Present;
-  for (const RunningTask &Seen : Report.Running) {
-    const auto Found = Worker.Runs.find(Seen.Task);
-    if (Found == Worker.Runs.end() || Found->second.Run != Seen.Run) {
-      stopOrphan(Worker, Seen);
+void Dispatcher::processRunningTasks(WorkerState &Worker,
+                                     const HoldReport &Report, Instant SentAt) {
+  std::set<TaskRef> ReportedTasks;
+  for (const RunningTask &ReportedRun : Report.Running) {
+    const auto RunIt = Worker.Runs.find(ReportedRun.Task);
+    if (RunIt == Worker.Runs.end() || RunIt->second.Number != ReportedRun.Run) {
+      stopOrphanedRun(Worker, ReportedRun);
       continue;
     }
-    Present.insert(Seen.Task);
-    noteProgress(Worker, Seen, Found->second);
+    ReportedTasks.insert(ReportedRun.Task);
+    updateProgress(Worker, ReportedRun, RunIt->second);
   }
-  settleMissing(Worker, Present, SentAt);
+  resolveMissingRuns(Worker, ReportedTasks, SentAt);
 }
 
-void Dispatcher::stopOrphan(const WorkerState &Worker,
-                            const RunningTask &Seen) {
+void Dispatcher::stopOrphanedRun(const WorkerState &Worker,
+                                 const RunningTask &ReportedRun) {
   Log.write(LogLevel::Info, "run-orphaned",
-            {{"job", Seen.Task.Job.Text},
-             {"run", Seen.Run},
+            {{"job", ReportedRun.Task.Job.Text},
+             {"run", ReportedRun.Run},
              {"worker", Worker.Record.Life.Id},
-             {"why", "the journal has no such run there"}});
-  Orders.emplace_back(
-      StopOrder{Worker.Record.Address, Token, Seen.Task, Seen.Run});
+             {"why", "the journal has no such run on this worker"}});
+  Orders.emplace_back(StopOrder{Worker.Record.Address, Token, ReportedRun.Task,
+                                ReportedRun.Run});
 }
 
-void Dispatcher::noteProgress(WorkerState &Worker, const RunningTask &Seen,
-                              RunState &Run) {
+void Dispatcher::updateProgress(WorkerState &Worker,
+                                const RunningTask &ReportedRun, RunState &Run) {
   const Instant Now = Time.now();
   if (Run.Phase == RunPhase::Ending) {
     return;
@@ -174,41 +183,42 @@
   if (Run.StartedAt == Instant()) {
     Run.StartedAt = Now;
   }
-  if (Run.Percent != Seen.Percent || Run.PercentChangedAt == Instant()) {
-    Run.Percent = Seen.Percent;
+  if (Run.Percent != ReportedRun.Percent || Run.PercentChangedAt == Instant()) {
+    Run.Percent = ReportedRun.Percent;
     Run.PercentChangedAt = Now;
   }
-  Run.Gauge = Seen.Gauge;
-  if (!Seen.Checkpoint.empty() && Seen.Checkpoint != Run.Checkpoint) {
-    Run.Checkpoint = Seen.Checkpoint;
-    Events.emplace_back(
-        jobs::CheckpointSaved{Seen.Task, Seen.Run, Seen.Checkpoint});
+  Run.Gauge = ReportedRun.Gauge;
+  if (!ReportedRun.Checkpoint.empty() &&
+      ReportedRun.Checkpoint != Run.Checkpoint) {
+    Run.Checkpoint = ReportedRun.Checkpoint;
+    Events.emplace_back(jobs::CheckpointSaved{ReportedRun.Task, ReportedRun.Run,
+                                              ReportedRun.Checkpoint});
   }
-  if (!Run.Lasting && !Run.StopWanted &&
-      Now - Run.PercentChangedAt > Settings.StallLimit) {
+  if (!Run.Lasting && !Run.StopRequested &&
+      Now - Run.PercentChangedAt > Settings.StallTimeout) {
     Log.write(LogLevel::Warning, "run-stalled",
-              {{"job", Seen.Task.Job.Text},
+              {{"job", ReportedRun.Task.Job.Text},
                {"worker", Worker.Record.Life.Id},
                {"percent", Run.Percent}});
-    Run.StopWanted = true;
-    LastFailedOn[Seen.Task] = Worker.Record.Life.Id;
+    Run.StopRequested = true;
+    LastFailedWorker[ReportedRun.Task] = Worker.Record.Life.Id;
   }
 }
 
-void Dispatcher::settleMissing(WorkerState &Worker,
-                               const std::set<TaskRef> &Present,
-                               Instant SentAt) {
+void Dispatcher::resolveMissingRuns(WorkerState &Worker,
+                                    const std::set<TaskRef> &ReportedTasks,
+                                    Instant SentAt) {
   for (auto &[Task, Run] : Worker.Runs) {
-    if (Present.contains(Task)) {
+    if (ReportedTasks.contains(Task)) {
       continue;
     }
-    const bool WasThere =
+    const bool HasEnded =
         Run.Phase == RunPhase::Running && Run.StartedAt < SentAt;
-    const bool NeverComes =
+    const bool CannotStart =
         Run.Phase == RunPhase::Uncertain &&
-        (Run.EarlierTerm ||
+        (Run.FromEarlierTerm ||
          (Run.StopConfirmedAt && *Run.StopConfirmedAt < SentAt));
-    if (WasThere || NeverComes) {
+    if (HasEnded || CannotStart) {
       proposeEnd(Worker, Task, Run, RunEnd::Lost, Run.Checkpoint);
     }
   }
@@ -229,23 +239,23 @@
     Run->Phase = RunPhase::Running;
     Run->StartedAt = Now;
     Run->PercentChangedAt = Now;
-    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Now + Settings.HoldGap);
+    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Now + Settings.HoldPeriod);
     return;
   case OrderOutcome::Unknown:
     Run->Phase = RunPhase::Uncertain;
     Worker.NextHoldAt = std::min(Worker.NextHoldAt, Now);
     return;
   case OrderOutcome::NoRoom:
-    Worker.AvoidUntil = Now + NoRoomPause;
+    Worker.AvoidUntil = Now + NoRoomDelay;
     break;
   case OrderOutcome::Unhealthy:
-    Worker.AvoidUntil = Now + UnhealthyPause;
+    Worker.AvoidUntil = Now + UnhealthyDelay;
     break;
   case OrderOutcome::NoPermit:
-    Permits.drop(stepOf(Order.Task), Order.To.WorkerId);
+    Permits.remove(stepOf(Order.Task), Order.To.WorkerId);
     break;
   case OrderOutcome::OtherWorker:
-    Worker.Contacted = false;
+    Worker.HasReported = false;
     Worker.NextHoldAt = Now;
     break;
   case OrderOutcome::Fenced:
@@ -266,28 +276,28 @@
 }
 
 void Dispatcher::adjustPace(WorkerState &Worker, Instant Now) {
-  if (!Worker.shared()) {
+  if (!Worker.hasFillersNextToServing()) {
     return;
   }
-  TailReport Seen{0, Now};
+  TailReport Tails{0, Now};
   for (const auto &[Task, Run] : Worker.Runs) {
     if (Run.TailObjective > Duration::zero()) {
       const Duration Tail = std::chrono::milliseconds(Run.Gauge);
-      Seen.WorstShare =
-          std::max(Seen.WorstShare,
+      Tails.WorstTailRatio =
+          std::max(Tails.WorstTailRatio,
                    std::chrono::duration<double>(Tail) / Run.TailObjective);
     }
   }
-  const FillerPace Next = nextPace(Worker.Fillers, Seen);
-  if (Next.Percent != Worker.Fillers.Percent) {
-    Log.write(
-        LogLevel::Info, "fillers-paced",
-        {{"worker", Worker.Record.Life.Id},
-         {"percent", Next.Percent},
-         {"before", Worker.Fillers.Percent},
-         {"tail_percent", static_cast<std::int64_t>(Seen.WorstShare * 100)}});
+  const FillerPace NewPace = nextPace(Worker.TargetPace, Tails);
+  if (NewPace.Percent != Worker.TargetPace.Percent) {
+    Log.write(LogLevel::Info, "fillers-paced",
+              {{"worker", Worker.Record.Life.Id},
+               {"percent", NewPace.Percent},
+               {"before", Worker.TargetPace.Percent},
+               {"tail_percent",
+                static_cast<std::int64_t>(Tails.WorstTailRatio * 100)}});
   }
-  Worker.Fillers = Next;
+  Worker.TargetPace = NewPace;
 }
 
 void Dispatcher::paceAnswered(const PaceOrder &Order, OrderOutcome Outcome) {
@@ -303,28 +313,29 @@
     Run->Pace = Order.Percent;
     return;
   }
-  // It may have been carried out, or may be yet; the next order settles it.
+  // The order may have been carried out or may still be, so the worker's pace
+  // is unknown until the next order succeeds.
   Run->Pace.reset();
-  Workers.at(Order.To.WorkerId).NextPaceAt = Time.now() + PaceRetry;
+  Workers.at(Order.To.WorkerId).NextPaceAt = Time.now() + PaceRetryDelay;
 }
 
-void Dispatcher::queryAnswered(const PermitQuery &Asked, Instant AskedAt,
+void Dispatcher::queryAnswered(const PermitQuery &Query, Instant AskedAt,
                                const std::optional<PermitReply> &Reply) {
   if (Book == nullptr) {
     return;
   }
-  QueriesOut.erase(Asked.Step);
+  QueriesInFlight.erase(Query.Step);
   PlanNeeded = true;
-  const jobs::Job *Owner = Book->find(Asked.Step.Job);
+  const jobs::Job *Job = Book->find(Query.Step.Job);
   if (!Reply) {
-    NextQueryAt = Time.now() + QueryRetry;
-  } else if (Owner != nullptr && Owner->open()) {
-    Permits.answered(Asked, *Reply, AskedAt);
+    NextQueryAt = Time.now() + QueryRetryDelay;
+  } else if (Job != nullptr && Job->open()) {
+    Permits.store(Query, *Reply, AskedAt);
   }
   Log.write(LogLevel::Info, "permits-asked",
-            {{"job", Asked.Step.Job.Text},
-             {"step", Asked.Step.Step},
-             {"workers", Asked.Workers.size()},
+            {{"job", Query.Step.Job.Text},
+             {"step", Query.Step.Step},
+             {"workers", Query.Workers.size()},
              {"allowed", Reply ? Reply->Allowed.size() : 0},
              {"answered", Reply.has_value()}});
 }
--- a/Source/Dispatch/HostKeeper.cpp
+++ b/Source/Dispatch/HostKeeper.cpp
@@ -1,9 +1,10 @@
 /// \file
-/// The course of maintenance waves.
+/// Maintenance waves: which host is drained and ordered next, and the effect of
+/// replies and host lists on open orders.
 
 #include "balsamlatch/Dispatch/HostKeeper.h"
 
-#include "HostViews.h"
+#include "HostWorkers.h"
 
 #include <algorithm>
 
@@ -11,57 +12,58 @@
 
 namespace {
 
-/// How long a host takes work again after a drain that led to nothing.
-constexpr Duration DrainPause = std::chrono::seconds(3);
-/// What a host takes from its drain to its return, as long as nothing is known
-/// of the wave's hosts.
-constexpr Duration UsualTurn = std::chrono::seconds(6);
+/// Time for which a host takes work again after a drain that was given up.
+constexpr Duration DrainRetryDelay = std::chrono::seconds(3);
+/// Estimated time from the start of the drain of a host to its return.
+constexpr Duration HostCycleEstimate = std::chrono::seconds(6);
 
-/// What a worker reported longer ago may have changed: reports of workers with
-/// runs are at most a hold's wait apart.
-constexpr Duration ReportTrust = std::chrono::milliseconds(2000);
+/// Reports older than this are not used. Workers with runs report at least once
+/// per HoldWait.
+constexpr Duration MaxReportAge = std::chrono::milliseconds(2000);
 
-bool atWork(const RunState &Run) {
-  constexpr unsigned Whole = 100;
-  return Run.Phase == RunPhase::Running && !Run.StopWanted &&
-         Run.Percent >= Whole;
+bool isAtWork(const RunState &Run) {
+  constexpr unsigned FullPercent = 100;
+  return Run.Phase == RunPhase::Running && !Run.StopRequested &&
+         Run.Percent >= FullPercent;
 }
 
-/// Whether the run may have begun its work since the worker's last report.
+/// Whether the run may have started its work since the worker's last report.
 bool mayBeAtWork(const RunState &Run) {
-  return Run.Phase != RunPhase::Ending && !Run.StopWanted;
+  return Run.Phase != RunPhase::Ending && !Run.StopRequested;
 }
 
-/// The run of a task on a worker that stays and was heard of lately; null when
-/// there is none.
-const RunState *runOf(const TaskRef &Task, const jobs::TaskRecord &Record,
-                      const Dispatcher &Workers) {
-  const auto Worker = Workers.workers().find(Record.Worker.Id);
-  if (Worker == Workers.workers().end() || Worker->second.Leaving ||
-      Worker->second.Silent ||
-      Workers.now() - Worker->second.LastReportAt > ReportTrust) {
+/// The run of a task, or null if its worker has no recent report or its host is
+/// about to be taken out of service.
+const RunState *findCurrentRun(const TaskRef &Task,
+                               const jobs::TaskRecord &Placement,
+                               const Dispatcher &JobDispatcher) {
+  const auto WorkerIt = JobDispatcher.workers().find(Placement.Worker.Id);
+  if (WorkerIt == JobDispatcher.workers().end() ||
+      WorkerIt->second.HostOrderPending || WorkerIt->second.IsUnresponsive ||
+      JobDispatcher.now() - WorkerIt->second.LastReportAt > MaxReportAge) {
     return nullptr;
   }
-  const auto Run = Worker->second.Runs.find(Task);
-  return Run == Worker->second.Runs.end() ? nullptr : &Run->second;
+  const auto RunIt = WorkerIt->second.Runs.find(Task);
+  return RunIt == WorkerIt->second.Runs.end() ? nullptr : &RunIt->second;
 }
 
-unsigned awayOfStep(const jobs::Job &Owner, const StepRef &Of,
-                    const Dispatcher &Workers) {
-  const unsigned Count = Owner.spec().Steps[Of.Step].Count;
-  unsigned Away = 0;
+unsigned countUnavailable(const jobs::Job &Job, const StepRef &Step,
+                          const Dispatcher &JobDispatcher) {
+  const unsigned Count = Job.spec().Steps[Step.Step].Count;
+  unsigned Unavailable = 0;
   for (unsigned Index = 0; Index < Count; ++Index) {
-    const TaskRef Task{Of.Job, Of.Occurrence, Of.Step, Index};
-    const jobs::TaskRecord *Record = Owner.find(Task);
-    const RunState *Run =
-        Record == nullptr ? nullptr : runOf(Task, *Record, Workers);
-    Away += Run != nullptr && atWork(*Run) ? 0 : 1;
+    const TaskRef Task{Step.Job, Step.Occurrence, Step.Step, Index};
+    const jobs::TaskRecord *Record = Job.find(Task);
+    const RunState *Run = Record == nullptr
+                              ? nullptr
+                              : findCurrentRun(Task, *Record, JobDispatcher);
+    Unavailable += Run != nullptr && isAtWork(*Run) ? 0 : 1;
   }
-  return Away;
+  return Unavailable;
 }
 
-/// Whether no work that would end by itself is cut off.
-bool endsNothing(const WorkerState *Worker) {
+/// Whether taking the worker down would not cut off a run that ends by itself.
+bool hasOnlyLastingRuns(const WorkerState *Worker) {
   return Worker == nullptr ||
          std::all_of(Worker->Runs.begin(), Worker->Runs.end(),
                      [](const auto &Run) { return Run.second.Lasting; });
@@ -69,39 +71,43 @@
 
 } // namespace
 
-std::optional<TaskRef> taskToMove(const WorkerState &Worker,
-                                  const Dispatcher &Workers,
-                                  const jobs::JobBook &Jobs) {
+std::optional<TaskRef> findTaskToMove(const WorkerState &Worker,
+                                      const Dispatcher &JobDispatcher,
+                                      const jobs::JobBook &Jobs) {
   for (const auto &[Task, Run] : Worker.Runs) {
-    const jobs::Job *Owner = Jobs.find(Task.Job);
-    if (Owner == nullptr || !Owner->open() || !Run.Lasting || !atWork(Run)) {
+    const jobs::Job *Job = Jobs.find(Task.Job);
+    if (Job == nullptr || !Job->open() || !Run.Lasting || !isAtWork(Run)) {
       continue;
     }
-    const unsigned Allowed = Owner->spec().Steps[Task.Step].MaxUnavailable;
-    if (Allowed == 0 || awayOfStep(*Owner, stepOf(Task), Workers) < Allowed) {
+    const unsigned MaxUnavailable = Job->spec().Steps[Task.Step].MaxUnavailable;
+    if (MaxUnavailable == 0 ||
+        countUnavailable(*Job, stepOf(Task), JobDispatcher) < MaxUnavailable) {
       return Task;
     }
   }
   return std::nullopt;
 }
 
-bool mayTakeAway(const WorkerState &Worker, const Dispatcher &Workers,
-                 const jobs::JobBook &Jobs) {
-  // Tasks at work here, by step; those that are not known to be count as away
-  // already.
-  std::map<StepRef, unsigned> Taken;
+bool canInterrupt(const WorkerState &Worker, const Dispatcher &JobDispatcher,
+                  const jobs::JobBook &Jobs) {
+  // Tasks at work on this worker, by step. Tasks that aren't known to be at
+  // work already count as unavailable.
+  std::map<StepRef, unsigned> InterruptedByStep;
   for (const auto &[Task, Run] : Worker.Runs) {
-    const jobs::Job *Owner = Jobs.find(Task.Job);
-    if (Owner != nullptr && Owner->open() && Run.Lasting && mayBeAtWork(Run) &&
-        Owner->spec().Steps[Task.Step].MaxUnavailable > 0) {
-      Taken[stepOf(Task)] += atWork(Run) ? 1 : 0;
+    const jobs::Job *Job = Jobs.find(Task.Job);
+    if (Job != nullptr && Job->open() && Run.Lasting && mayBeAtWork(Run) &&
+        Job->spec().Steps[Task.Step].MaxUnavailable > 0) {
+      InterruptedByStep[stepOf(Task)] += isAtWork(Run) ? 1 : 0;
     }
   }
-  return std::all_of(Taken.begin(), Taken.end(), [&](const auto &Each) {
-    const jobs::Job *Owner = Jobs.find(Each.first.Job);
-    return awayOfStep(*Owner, Each.first, Workers) + Each.second <=
-           Owner->spec().Steps[Each.first.Step].MaxUnavailable;
-  });
+  return std::all_of(
+      InterruptedByStep.begin(), InterruptedByStep.end(),
+      [&](const auto &StepEntry) {
+        const jobs::Job *Job = Jobs.find(StepEntry.first.Job);
+        return countUnavailable(*Job, StepEntry.first, JobDispatcher) +
+                   StepEntry.second <=
+               Job->spec().Steps[StepEntry.first.Step].MaxUnavailable;
+      });
 }
 
 HostKeeper::HostKeeper(const Clock &TimeSource, HostKeeperOptions Options,
@@ -109,69 +115,71 @@
     : Time(TimeSource), Settings(Options), Log(Sink), Pools(Options.Pools) {}
 
 void HostKeeper::begin() {
-  TermBegan = Time.now();
+  TermStart = Time.now();
   Hosts.clear();
   Waves.clear();
-  Ordered.clear();
-  Unsettled.clear();
-  Moving.clear();
-  DrainingForMove.clear();
+  OpenOrders.clear();
+  AnsweredOrders.clear();
+  MovingHosts.clear();
+  HostsDrainingForMove.clear();
   Pools.reset();
-  EarlierKnown = false;
+  EarlierOrdersKnown = false;
   EarlierOrders.clear();
   OrderedAt.clear();
 }
 
 void HostKeeper::setEarlierOrders(std::set<HostName> Names) {
   EarlierOrders = std::move(Names);
-  EarlierKnown = true;
+  EarlierOrdersKnown = true;
 }
 
 std::set<HostName> HostKeeper::recentOrders() const {
-  std::set<HostName> Recent;
-  for (const auto &[Name, At] : OrderedAt) {
-    if (Time.now() - At < Settings.SettleTime) {
-      Recent.insert(Name);
+  std::set<HostName> RecentHosts;
+  for (const auto &[Name, IssuedAt] : OrderedAt) {
+    if (Time.now() - IssuedAt < Settings.SettleTime) {
+      RecentHosts.insert(Name);
     }
   }
-  // Until they are settled they matter to the next holder, too.
-  if (Time.now() - TermBegan < Settings.SettleTime) {
-    Recent.insert(EarlierOrders.begin(), EarlierOrders.end());
+  // The next lease holder needs the orders of the earlier one as long as their
+  // effect is unknown.
+  if (Time.now() - TermStart < Settings.SettleTime) {
+    RecentHosts.insert(EarlierOrders.begin(), EarlierOrders.end());
   }
-  return Recent;
+  return RecentHosts;
 }
 
-bool HostKeeper::settling(const HostName &Name) const {
+bool HostKeeper::isSettling(const HostName &Name) const {
   return EarlierOrders.contains(Name) &&
-         Time.now() - TermBegan < Settings.SettleTime;
+         Time.now() - TermStart < Settings.SettleTime;
 }
 
 bool HostKeeper::busy() const {
-  return !Waves.empty() || !Ordered.empty() || !Unsettled.empty() ||
-         !Moving.empty();
+  return !Waves.empty() || !OpenOrders.empty() || !AnsweredOrders.empty() ||
+         !MovingHosts.empty();
 }
 
-void HostKeeper::setHosts(std::vector<HostRecord> Now, Dispatcher &Workers) {
+void HostKeeper::setHosts(std::vector<HostRecord> ListedHosts,
+                          Dispatcher &JobDispatcher) {
   Hosts.clear();
   std::set<std::string> WorkerIds;
-  for (HostRecord &Host : Now) {
+  for (HostRecord &Host : ListedHosts) {
     if (Host.Status != HostStatus::Down) {
       WorkerIds.insert(Host.WorkerId);
     }
     HostName Name = Host.Name;
     Hosts.emplace(std::move(Name), std::move(Host));
   }
-  settle(Workers);
-  Workers.setHostedWorkers(WorkerIds);
+  settleOrders(JobDispatcher);
+  JobDispatcher.setHostedWorkers(WorkerIds);
 }
 
-void HostKeeper::addWave(const WaveRequest &Request, Duration UnderWay) {
+void HostKeeper::addWave(const WaveRequest &Request, Duration ElapsedTime) {
   if (Waves.contains(Request.Number)) {
     return;
   }
-  Wave &New = Waves[Request.Number];
-  New.Request = Request;
-  New.Since = Time.now() - UnderWay;
+  Wave &NewWave = Waves[Request.Number];
+  NewWave.Request = Request;
+  NewWave.BegunAt = Time.now() - ElapsedTime;
   Log.write(LogLevel::Info, "wave-begun",
             {{"wave", Request.Number},
              {"hosts", Request.Hosts.size()},
@@ -179,184 +187,191 @@
 }
 
 const HostRecord *HostKeeper::find(const HostName &Name) const {
-  const auto Found = Hosts.find(Name);
-  return Found == Hosts.end() ? nullptr : &Found->second;
+  const auto HostIt = Hosts.find(Name);
+  return HostIt == Hosts.end() ? nullptr : &HostIt->second;
 }
 
-std::vector<HostDecision> HostKeeper::decide(Dispatcher &Workers,
+std::vector<HostDecision> HostKeeper::decide(Dispatcher &JobDispatcher,
                                              const jobs::JobBook &Jobs,
                                              const Deployment &Config) {
   std::vector<HostDecision> Decisions;
-  if (Hosts.empty() || !EarlierKnown) {
+  if (Hosts.empty() || !EarlierOrdersKnown) {
     return Decisions;
   }
-  for (auto &[Number, Which] : Waves) {
-    decideWave(Which, Workers, Jobs, Decisions);
+  for (auto &[Number, ActiveWave] : Waves) {
+    decideWave(ActiveWave, JobDispatcher, Jobs, Decisions);
   }
-  decideMoves(Workers, Jobs, Config, Decisions);
+  decideMoves(JobDispatcher, Jobs, Config, Decisions);
   return Decisions;
 }
 
-void HostKeeper::give(HostOrder Order, Dispatcher &Workers,
-                      std::vector<HostDecision> &Into) {
-  Workers.setLeaving(Order.WorkerId, true);
-  Ordered[Order.Host] = Order;
+void HostKeeper::issueOrder(HostOrder Order, Dispatcher &JobDispatcher,
+                            std::vector<HostDecision> &Decisions) {
+  JobDispatcher.setHostOrderPending(Order.WorkerId, true);
+  OpenOrders[Order.Host] = Order;
   OrderedAt[Order.Host] = Time.now();
-  Into.emplace_back(std::move(Order));
+  Decisions.emplace_back(std::move(Order));
 }
 
-unsigned HostKeeper::away(const Wave &Which) const {
+unsigned HostKeeper::countAway(const Wave &ActiveWave) const {
   const Instant Now = Time.now();
   unsigned Count = 0;
-  for (const HostName &Name : Which.Request.Hosts) {
+  for (const HostName &Name : ActiveWave.Request.Hosts) {
     const HostRecord *Host = find(Name);
-    const auto Began = Which.Away.find(Name);
-    const bool Recent =
-        Began != Which.Away.end() &&
-        Now - Began->second < Settings.MaintenanceTime + ReturnMargin;
-    const bool Listed =
+    const auto AwayIt = ActiveWave.AwaySince.find(Name);
+    const bool IsRecentlyOrdered =
+        AwayIt != ActiveWave.AwaySince.end() &&
+        Now - AwayIt->second < Settings.MaintenanceTime + ReturnMargin;
+    const bool IsInMaintenance =
         Host != nullptr && Host->Status == HostStatus::Maintenance;
-    const bool Open = Ordered.contains(Name) || Unsettled.contains(Name);
-    Count += Open || Recent || Listed ? 1 : 0;
+    const bool HasOpenOrder =
+        OpenOrders.contains(Name) || AnsweredOrders.contains(Name);
+    Count += HasOpenOrder || IsRecentlyOrdered || IsInMaintenance ? 1 : 0;
   }
   return Count;
 }
 
-unsigned HostKeeper::drainsWanted(const Wave &Which, std::size_t Left) const {
-  const Duration Allowed =
-      Which.Request.TimeAllowed * (100 - Settings.WaveSparePercent) / 100;
-  const Duration Rest =
-      std::max<Duration>(UsualTurn, Allowed - (Time.now() - Which.Since));
-  const auto Turns = static_cast<std::size_t>(Rest / UsualTurn);
-  return static_cast<unsigned>((Left + Turns - 1) / Turns);
+unsigned HostKeeper::desiredDrains(const Wave &ActiveWave,
+                                   std::size_t HostsLeft) const {
+  const Duration PlannedTime = ActiveWave.Request.TimeAllowed *
+                               (100 - Settings.WaveReservePercent) / 100;
+  const Duration TimeLeft = std::max<Duration>(
+      HostCycleEstimate, PlannedTime - (Time.now() - ActiveWave.BegunAt));
+  const auto CyclesLeft =
+      static_cast<std::size_t>(TimeLeft / HostCycleEstimate);
+  return static_cast<unsigned>((HostsLeft + CyclesLeft - 1) / CyclesLeft);
 }
 
-void HostKeeper::decideWave(Wave &Which, Dispatcher &Workers,
+void HostKeeper::decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
                             const jobs::JobBook &Jobs,
-                            std::vector<HostDecision> &Into) {
+                            std::vector<HostDecision> &Decisions) {
   const Instant Now = Time.now();
-  std::vector<const HostRecord *> Open;
-  std::size_t Left = 0;
-  for (const HostName &Name : Which.Request.Hosts) {
+  std::vector<const HostRecord *> AvailableHosts;
+  std::size_t HostsLeft = 0;
+  for (const HostName &Name : ActiveWave.Request.Hosts) {
     const HostRecord *Host = find(Name);
-    if (Host == nullptr || Which.Done.contains(Name)) {
-      continue; // a host that is gone needs no maintenance
+    if (Host == nullptr || ActiveWave.DoneHosts.contains(Name)) {
+      continue; // removed hosts need no maintenance
     }
-    ++Left;
-    if (Host->Status == HostStatus::Up && !Ordered.contains(Name) &&
-        !Unsettled.contains(Name) && !Moving.contains(Name) &&
-        !settling(Name)) {
-      Open.push_back(Host);
+    ++HostsLeft;
+    if (Host->Status == HostStatus::Up && !OpenOrders.contains(Name) &&
+        !AnsweredOrders.contains(Name) && !MovingHosts.contains(Name) &&
+        !isSettling(Name)) {
+      AvailableHosts.push_back(Host);
     }
   }
-  if (Left == 0) {
-    Into.emplace_back(WaveCompleted{Which.Request.Number});
+  if (HostsLeft == 0) {
+    Decisions.emplace_back(WaveCompleted{ActiveWave.Request.Number});
     return;
   }
-  std::stable_sort(Open.begin(), Open.end(),
-                   [&](const HostRecord *A, const HostRecord *B) {
-                     const bool Drains[] = {Which.Draining.contains(A->Name),
-                                            Which.Draining.contains(B->Name)};
-                     return Drains[0] != Drains[1]
-                                ? Drains[0]
-                                : usedOf(*A, Workers) < usedOf(*B, Workers);
+  std::stable_sort(AvailableHosts.begin(), AvailableHosts.end(),
+                   [&](const HostRecord *Left, const HostRecord *Right) {
+                     const bool IsDraining[] = {
+                         ActiveWave.DrainingSince.contains(Left->Name),
+                         ActiveWave.DrainingSince.contains(Right->Name)};
+                     return IsDraining[0] != IsDraining[1]
+                                ? IsDraining[0]
+                                : claimedCpuMilli(*Left, JobDispatcher) <
+                                      claimedCpuMilli(*Right, JobDispatcher);
                    });
-  unsigned Away = away(Which);
-  const unsigned Wanted =
-      std::min(drainsWanted(Which, Left), Which.Request.MaxAway);
-  for (const HostRecord *Host : Open) {
-    const WorkerState *Worker = workerOf(*Host, Workers);
-    const auto Draining = Which.Draining.find(Host->Name);
-    const bool Overdue = Draining != Which.Draining.end() &&
-                         Now - Draining->second > Settings.DrainLimit;
-    const bool Allowed =
-        Worker == nullptr || mayTakeAway(*Worker, Workers, Jobs);
-    if (Away < Which.Request.MaxAway && Allowed &&
-        (endsNothing(Worker) || Overdue)) {
-      give({Host->Name, Host->WorkerId, Which.Request.Number, {}}, Workers,
-           Into);
-      ++Away;
+  unsigned AwayCount = countAway(ActiveWave);
+  const unsigned MaxDrains = std::min(desiredDrains(ActiveWave, HostsLeft),
+                                      ActiveWave.Request.MaxAway);
+  for (const HostRecord *Host : AvailableHosts) {
+    const WorkerState *Worker = findHostWorker(*Host, JobDispatcher);
+    const auto DrainIt = ActiveWave.DrainingSince.find(Host->Name);
+    const bool IsOverdue = DrainIt != ActiveWave.DrainingSince.end() &&
+                           Now - DrainIt->second > Settings.DrainTimeout;
+    const bool MayInterrupt =
+        Worker == nullptr || canInterrupt(*Worker, JobDispatcher, Jobs);
+    if (AwayCount < ActiveWave.Request.MaxAway && MayInterrupt &&
+        (hasOnlyLastingRuns(Worker) || IsOverdue)) {
+      issueOrder({Host->Name, Host->WorkerId, ActiveWave.Request.Number, {}},
+                 JobDispatcher, Decisions);
+      ++AwayCount;
       continue;
     }
-    if (!Allowed && Draining != Which.Draining.end()) {
-      // Its lasting tasks start elsewhere one after the other.
-      if (const auto Task = taskToMove(*Worker, Workers, Jobs)) {
-        Workers.moveRun(Host->WorkerId, *Task);
+    if (!MayInterrupt && DrainIt != ActiveWave.DrainingSince.end()) {
+      // Moves the lasting tasks to other workers one by one.
+      if (const auto Task = findTaskToMove(*Worker, JobDispatcher, Jobs)) {
+        JobDispatcher.moveRun(Host->WorkerId, *Task);
       }
     }
-    if (Overdue && !Allowed) {
-      // Its lasting work may need this very host to be whole again.
-      Workers.setCordoned(Host->WorkerId, false);
-      Which.Draining.erase(Draining);
-      Which.NoDrainBefore[Host->Name] = Now + DrainPause;
+    if (IsOverdue && !MayInterrupt) {
+      // The step may need this host to bring its missing tasks back, and until
+      // then no further task may be interrupted.
+      JobDispatcher.setCordoned(Host->WorkerId, false);
+      ActiveWave.DrainingSince.erase(DrainIt);
+      ActiveWave.NextDrainAt[Host->Name] = Now + DrainRetryDelay;
       continue;
     }
-    if (Draining == Which.Draining.end() && Which.Draining.size() < Wanted &&
-        Now >= Which.NoDrainBefore[Host->Name]) {
-      Which.Draining[Host->Name] = Now;
-      Workers.setCordoned(Host->WorkerId, true);
+    if (DrainIt == ActiveWave.DrainingSince.end() &&
+        ActiveWave.DrainingSince.size() < MaxDrains &&
+        Now >= ActiveWave.NextDrainAt[Host->Name]) {
+      ActiveWave.DrainingSince[Host->Name] = Now;
+      JobDispatcher.setCordoned(Host->WorkerId, true);
     }
   }
 }
 
-void HostKeeper::answered(const HostOrder &Order, bool Taken) {
-  Ordered.erase(Order.Host);
-  Unsettled[Order.Host] = {Order, Taken};
+void HostKeeper::answered(const HostOrder &Order, bool WasAccepted) {
+  OpenOrders.erase(Order.Host);
+  AnsweredOrders[Order.Host] = {Order, WasAccepted};
 }
 
-void HostKeeper::settle(Dispatcher &Workers) {
-  for (const auto &[Name, Answer] : std::exchange(Unsettled, {})) {
-    const auto &[Order, Taken] = Answer;
+void HostKeeper::settleOrders(Dispatcher &JobDispatcher) {
+  for (const auto &[Name, OrderAndAnswer] : std::exchange(AnsweredOrders, {})) {
+    const auto &[Order, WasAccepted] = OrderAndAnswer;
     const HostRecord *Host = find(Name);
-    const bool Gone = Host == nullptr || Host->Status != HostStatus::Up ||
-                      Host->WorkerId != Order.WorkerId;
-    if (Gone) {
-      Workers.hostTaken(Order.WorkerId);
+    const bool IsGone = Host == nullptr || Host->Status != HostStatus::Up ||
+                        Host->WorkerId != Order.WorkerId;
+    if (IsGone) {
+      JobDispatcher.handleHostGone(Order.WorkerId);
     } else {
-      Workers.setLeaving(Order.WorkerId, false);
-      Moving.erase(Name);
+      JobDispatcher.setHostOrderPending(Order.WorkerId, false);
+      MovingHosts.erase(Name);
     }
-    if (const auto Found = Waves.find(Order.Wave); Found != Waves.end()) {
-      Found->second.Draining.erase(Name);
-      if (Gone) {
-        Found->second.Away[Name] = Time.now();
+    if (const auto WaveIt = Waves.find(Order.Wave); WaveIt != Waves.end()) {
+      WaveIt->second.DrainingSince.erase(Name);
+      if (IsGone) {
+        WaveIt->second.AwaySince[Name] = Time.now();
       }
-      if (Gone || Taken) {
-        Found->second.Done.insert(Name);
+      if (IsGone || WasAccepted) {
+        WaveIt->second.DoneHosts.insert(Name);
       }
     }
     Log.write(LogLevel::Info, "host-order-settled",
               {{"host", Name.Text},
                {"wave", Order.Wave},
                {"to", Order.MoveTo.Text},
-               {"taken", Taken},
-               {"away", Gone}});
+               {"taken", WasAccepted},
+               {"away", IsGone}});
   }
 }
 
-void HostKeeper::refused(const HostOrder &Order, Dispatcher &Workers) {
-  Ordered.erase(Order.Host);
-  Moving.erase(Order.Host);
-  if (const auto Found = Waves.find(Order.Wave); Found != Waves.end()) {
-    Found->second.Draining.erase(Order.Host);
+void HostKeeper::refused(const HostOrder &Order, Dispatcher &JobDispatcher) {
+  OpenOrders.erase(Order.Host);
+  MovingHosts.erase(Order.Host);
+  if (const auto WaveIt = Waves.find(Order.Wave); WaveIt != Waves.end()) {
+    WaveIt->second.DrainingSince.erase(Order.Host);
   }
-  Workers.setLeaving(Order.WorkerId, false);
+  JobDispatcher.setHostOrderPending(Order.WorkerId, false);
 }
 
 void HostKeeper::addDone(std::uint64_t Number,
                          const std::vector<HostName> &Names) {
-  const auto Found = Waves.find(Number);
-  if (Found != Waves.end()) {
-    Found->second.Done.insert(Names.begin(), Names.end());
+  const auto WaveIt = Waves.find(Number);
+  if (WaveIt != Waves.end()) {
+    WaveIt->second.DoneHosts.insert(Names.begin(), Names.end());
   }
 }
 
 std::vector<HostName> HostKeeper::done(std::uint64_t Number) const {
-  const auto Found = Waves.find(Number);
-  return Found == Waves.end()
+  const auto WaveIt = Waves.find(Number);
+  return WaveIt == Waves.end()
              ? std::vector<HostName>()
-             : std::vector<HostName>(Found->second.Done.begin(),
-                                     Found->second.Done.end());
+             : std::vector<HostName>(WaveIt->second.DoneHosts.begin(),
+                                     WaveIt->second.DoneHosts.end());
 }
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// The host keeper's moves between pools.
+/// Demand of the pools, and moves of hosts between them.
 
 #include "balsamlatch/Dispatch/HostKeeper.h"
 
-#include "HostViews.h"
+#include "HostWorkers.h"
 
 #include <algorithm>
 
@@ -11,136 +11,143 @@
 
 namespace {
 
-/// Until a host that is moved now can run work, as many jobs come again, so
-/// often, as came in the last moments. Answers demand that rises at once.
+/// Forecast for a sudden rise of demand: for each job that arrived within
+/// ArrivalWindow, this many more arrive before a host that is moved now can run
+/// work.
 constexpr Duration ArrivalWindow = std::chrono::milliseconds(500);
-constexpr std::int64_t FollowersExpected = 3;
+constexpr std::int64_t ExpectedArrivalsPerJob = 3;
 
-/// Occurrences that are due by then need their hosts now: what a move takes.
-constexpr Duration DueSoon = std::chrono::milliseconds(1700);
+/// Occurrences due within this time count as demand now, since a move takes
+/// about as long.
+constexpr Duration DueLookahead = std::chrono::milliseconds(1700);
 
-/// Adds the tasks of a step that run or could run now.
-void addDemand(const jobs::Job &Owner, unsigned Occurrence, unsigned Step,
-               std::int64_t Weight, PoolDemand &Into) {
-  const jobs::StepSpec &Spec = Owner.spec().Steps[Step];
+/// Adds the demand of the tasks of a step that run or could run now.
+void addDemand(const jobs::Job &Job, unsigned Occurrence, unsigned Step,
+               std::int64_t Weight, PoolDemand &Demand) {
+  const jobs::StepSpec &Spec = Job.spec().Steps[Step];
   if (Spec.Lasting) {
-    const unsigned Apart =
+    const unsigned TasksPerHost =
         Spec.MaxPerWorker > 0 ? Spec.MaxPerWorker : Spec.Count;
-    Into.LastingHosts =
-        std::max(Into.LastingHosts, (Spec.Count + Apart - 1) / Apart);
+    Demand.LastingHosts = std::max(
+        Demand.LastingHosts, (Spec.Count + TasksPerHost - 1) / TasksPerHost);
     return;
   }
-  if (!Owner.ready(Occurrence, Step)) {
+  if (!Job.ready(Occurrence, Step)) {
     return;
   }
-  const auto Found = Owner.Record.Occurrences.find(Occurrence);
-  std::int64_t Open = Spec.Count;
-  if (Found != Owner.Record.Occurrences.end()) {
-    const jobs::StepRecord &Tasks = Found->second[Step];
-    Open = std::count_if(Tasks.begin(), Tasks.end(),
-                         [](const jobs::TaskRecord &Task) {
-                           return Task.Phase != jobs::TaskPhase::Done;
-                         });
+  const auto OccurrenceIt = Job.Record.Occurrences.find(Occurrence);
+  std::int64_t OpenTasks = Spec.Count;
+  if (OccurrenceIt != Job.Record.Occurrences.end()) {
+    const jobs::StepRecord &Tasks = OccurrenceIt->second[Step];
+    OpenTasks = std::count_if(Tasks.begin(), Tasks.end(),
+                              [](const jobs::TaskRecord &Task) {
+                                return Task.Phase != jobs::TaskPhase::Done;
+                              });
   }
-  Into.Ending.CpuMilli += Spec.Need.CpuMilli * Open * Weight;
-  Into.Ending.MemoryMb += Spec.Need.MemoryMb * Open * Weight;
-  Into.Ending.Gpus += Spec.Need.Gpus * Open * Weight;
+  Demand.BatchResources.CpuMilli += Spec.Need.CpuMilli * OpenTasks * Weight;
+  Demand.BatchResources.MemoryMb += Spec.Need.MemoryMb * OpenTasks * Weight;
+  Demand.BatchResources.Gpus += Spec.Need.Gpus * OpenTasks * Weight;
 }
 
-std::map<PoolName, PoolDemand>
-demandOf(const jobs::JobBook &Jobs, const Deployment &Config, WallTime Now) {
-  std::map<PoolName, PoolDemand> Demand;
-  for (const auto &[Id, Owner] : Jobs.jobs()) {
-    if (!Owner.open()) {
+std::map<PoolName, PoolDemand> findDemandByPool(const jobs::JobBook &Jobs,
+                                                const Deployment &Config,
+                                                WallTime Now) {
+  std::map<PoolName, PoolDemand> DemandByPool;
+  for (const auto &[Id, Job] : Jobs.jobs()) {
+    if (!Job.open()) {
       continue;
     }
-    const Queue *From = Config.find(Owner.Record.Accepted.Queue);
-    PoolDemand &Into =
-        Demand[From == nullptr ? Owner.Record.Accepted.Pool : From->Pool];
-    const bool New = Now - Owner.Record.Accepted.At < ArrivalWindow;
-    const std::int64_t Weight = New ? 1 + FollowersExpected : 1;
-    for (unsigned Occurrence = 0; Occurrence < Owner.spec().occurrences() &&
-                                  Owner.dueAt(Occurrence) <= Now + DueSoon;
+    const Queue *JobQueue = Config.find(Job.Record.Accepted.Queue);
+    PoolDemand &Demand =
+        DemandByPool[JobQueue == nullptr ? Job.Record.Accepted.Pool
+                                         : JobQueue->Pool];
+    const bool IsNew = Now - Job.Record.Accepted.At < ArrivalWindow;
+    const std::int64_t Weight = IsNew ? 1 + ExpectedArrivalsPerJob : 1;
+    for (unsigned Occurrence = 0; Occurrence < Job.spec().occurrences() &&
+                                  Job.dueAt(Occurrence) <= Now + DueLookahead;
          ++Occurrence) {
-      for (unsigned Step = 0; Step < Owner.spec().Steps.size(); ++Step) {
-        addDemand(Owner, Occurrence, Step, Weight, Into);
+      for (unsigned Step = 0; Step < Job.spec().Steps.size(); ++Step) {
+        addDemand(Job, Occurrence, Step, Weight, Demand);
       }
     }
   }
-  return Demand;
+  return DemandByPool;
 }
 
 } // namespace
 
-std::vector<PoolHost> HostKeeper::poolHosts(const Dispatcher &Workers) const {
-  std::vector<PoolHost> All;
+std::vector<PoolHost>
+HostKeeper::poolHosts(const Dispatcher &JobDispatcher) const {
+  std::vector<PoolHost> Result;
   for (const auto &[Name, Host] : Hosts) {
-    const bool ForWave = std::any_of(
-        Waves.begin(), Waves.end(), [&, Key = Name](const auto &Each) {
-          return Each.second.Draining.contains(Key);
+    const bool DrainsForWave = std::any_of(
+        Waves.begin(), Waves.end(), [&, Key = Name](const auto &WaveEntry) {
+          return WaveEntry.second.DrainingSince.contains(Key);
         });
     if (Host.Status == HostStatus::Down ||
-        Host.Status == HostStatus::Maintenance || ForWave) {
-      continue; // gives its pool nothing now
+        Host.Status == HostStatus::Maintenance || DrainsForWave) {
+      continue; // no capacity for its pool at present
     }
-    PoolHost View;
-    View.Name = Name;
-    View.Pool = Host.Pool;
-    View.Capacity = Host.Capacity;
-    const auto Way = Moving.find(Name);
-    if (Way != Moving.end()) {
-      View.Pool = Way->second.To;
+    PoolHost Entry;
+    Entry.Name = Name;
+    Entry.Pool = Host.Pool;
+    Entry.Capacity = Host.Capacity;
+    const auto MoveIt = MovingHosts.find(Name);
+    if (MoveIt != MovingHosts.end()) {
+      Entry.Pool = MoveIt->second.TargetPool;
     }
-    const WorkerState *Worker = workerOf(Host, Workers);
-    View.Movable = Host.Status == HostStatus::Up && Way == Moving.end() &&
-                   !Ordered.contains(Name) && !Unsettled.contains(Name) &&
-                   !settling(Name) &&
-                   (Worker == nullptr || !Worker->Record.Draining);
-    View.Vacant = Worker == nullptr || Worker->Runs.empty();
-    View.Lasting =
+    const WorkerState *Worker = findHostWorker(Host, JobDispatcher);
+    Entry.IsMovable =
+        Host.Status == HostStatus::Up && MoveIt == MovingHosts.end() &&
+        !OpenOrders.contains(Name) && !AnsweredOrders.contains(Name) &&
+        !isSettling(Name) && (Worker == nullptr || !Worker->Record.Draining);
+    Entry.IsVacant = Worker == nullptr || Worker->Runs.empty();
+    Entry.HasLastingTask =
         Worker != nullptr &&
         std::any_of(Worker->Runs.begin(), Worker->Runs.end(),
                     [](const auto &Run) { return Run.second.Lasting; });
-    View.Draining = DrainingForMove.contains(Name);
-    View.UsedCpuMilli = usedOf(Host, Workers);
-    All.push_back(std::move(View));
+    Entry.IsDraining = HostsDrainingForMove.contains(Name);
+    Entry.ClaimedCpuMilli = claimedCpuMilli(Host, JobDispatcher);
+    Result.push_back(std::move(Entry));
   }
-  return All;
+  return Result;
 }
 
-void HostKeeper::decideMoves(Dispatcher &Workers, const jobs::JobBook &Jobs,
+void HostKeeper::decideMoves(Dispatcher &JobDispatcher,
+                             const jobs::JobBook &Jobs,
                              const Deployment &Config,
-                             std::vector<HostDecision> &Into) {
+                             std::vector<HostDecision> &Decisions) {
   const Instant Now = Time.now();
-  std::erase_if(Moving, [&](const auto &Each) {
-    return Now - Each.second.Since > Settings.MoveTime + ReturnMargin;
+  std::erase_if(MovingHosts, [&](const auto &MoveEntry) {
+    return Now - MoveEntry.second.OrderedAt > Settings.MoveTime + ReturnMargin;
   });
-  std::map<PoolName, PoolDemand> Demand =
-      demandOf(Jobs, Config, Time.wallNow());
-  for (const auto &[Pool, Lacking] : Workers.hostsLacking()) {
-    Demand[Pool].HostsLacking = Lacking;
+  std::map<PoolName, PoolDemand> DemandByPool =
+      findDemandByPool(Jobs, Config, Time.wallNow());
+  for (const auto &[Pool, HostCount] : JobDispatcher.requiredHosts()) {
+    DemandByPool[Pool].HostsForUnplaced = HostCount;
   }
   const PoolPlan Plan =
-      Pools.plan(Now, Config.Pools, Demand, poolHosts(Workers));
-  for (const PoolPlan::Step &Step : Plan.Moves) {
-    const HostRecord *Host = find(Step.Host);
-    Moving[Step.Host] = {Step.To, Now};
-    DrainingForMove.erase(Step.Host);
-    give({Step.Host, Host->WorkerId, 0, Step.To}, Workers, Into);
+      Pools.plan(Now, Config.Pools, DemandByPool, poolHosts(JobDispatcher));
+  for (const PoolPlan::HostMove &PlannedMove : Plan.Moves) {
+    const HostRecord *Host = find(PlannedMove.Host);
+    MovingHosts[PlannedMove.Host] = {PlannedMove.TargetPool, Now};
+    HostsDrainingForMove.erase(PlannedMove.Host);
+    issueOrder({PlannedMove.Host, Host->WorkerId, 0, PlannedMove.TargetPool},
+               JobDispatcher, Decisions);
   }
-  const std::set<HostName> Wanted(Plan.Drains.begin(), Plan.Drains.end());
-  for (const HostName &Name : Wanted) {
-    if (DrainingForMove.insert(Name).second) {
-      Workers.setCordoned(find(Name)->WorkerId, true);
+  const std::set<HostName> HostsToDrain(Plan.Drains.begin(), Plan.Drains.end());
+  for (const HostName &Name : HostsToDrain) {
+    if (HostsDrainingForMove.insert(Name).second) {
+      JobDispatcher.setCordoned(find(Name)->WorkerId, true);
     }
   }
-  std::erase_if(DrainingForMove, [&](const HostName &Name) {
+  std::erase_if(HostsDrainingForMove, [&](const HostName &Name) {
     const HostRecord *Host = find(Name);
-    if (Wanted.contains(Name)) {
+    if (HostsToDrain.contains(Name)) {
       return false;
     }
     if (Host != nullptr) {
-      Workers.setCordoned(Host->WorkerId, false);
+      JobDispatcher.setCordoned(Host->WorkerId, false);
     }
     return true;
   });
--- a/Source/Dispatch/Pacing.cpp
+++ b/Source/Dispatch/Pacing.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The control loop for fillers.
+/// The feedback control of the pace of fillers.
 
 #include "balsamlatch/Dispatch/Pacing.h"
 
@@ -9,43 +9,48 @@
 
 namespace {
 
-/// A tail is taken over the last half second, and a new pace applies 0.1 s
-/// after its order.
-constexpr Duration EffectTime = std::chrono::milliseconds(650);
-/// Time between two steps up.
-constexpr Duration RisePeriod = std::chrono::milliseconds(1000);
-/// Parts of the objective: far over it, at risk, and with room to spare.
-constexpr double FarOver = 1.5;
-constexpr double AtRisk = 0.85;
-constexpr double Spare = 0.6;
-constexpr unsigned Whole = 100;
-constexpr unsigned RiseStep = 20;
-/// Below this a filler gets little done and still disturbs.
-constexpr unsigned LeastPercent = 10;
-
-unsigned lowered(unsigned Percent, double Share) {
-  if (Share > FarOver) {
+/// Time until a report shows the effect of a new pace: the tail covers the last
+/// 0.5 s, and a pace applies 0.1 s after its order.
+constexpr Duration PaceEffectTime = std::chrono::milliseconds(650);
+/// Minimum time between two increases.
+constexpr Duration IncreasePeriod = std::chrono::milliseconds(1000);
+/// Tails as fractions of the objective: above CriticalRatio fillers stop, above
+/// ReduceRatio they slow down, below IncreaseRatio they speed up.
+constexpr double CriticalRatio = 1.5;
+constexpr double ReduceRatio = 0.85;
+constexpr double IncreaseRatio = 0.6;
+constexpr unsigned FullPercent = 100;
+constexpr unsigned IncreasePercent = 20;
+/// Below this a filler makes little progress but still causes interference.
+constexpr unsigned MinPercent = 10;
+
+unsigned reducedPercent(unsigned Percent, double TailRatio) {
+  if (TailRatio > CriticalRatio) {
     return 0;
   }
-  const unsigned Next = Share > 1 ? Percent / 2 : Percent * 4 / 5;
-  return Next < LeastPercent ? 0 : Next;
+  const unsigned NewPercent = TailRatio > 1 ? Percent / 2 : Percent * 4 / 5;
+  return NewPercent < MinPercent ? 0 : NewPercent;
 }
 
 } // namespace
 
-FillerPace nextPace(const FillerPace &Now, const TailReport &Seen) {
-  const bool First = Now.ChangedAt == Instant();
-  const Duration Since = Seen.At - Now.ChangedAt;
-  if (Seen.WorstShare > AtRisk) {
-    const unsigned Next = lowered(Now.Percent, Seen.WorstShare);
-    return Next != Now.Percent && (First || Since >= EffectTime)
-               ? FillerPace{Next, Seen.At}
-               : Now;
+FillerPace nextPace(const FillerPace &CurrentPace, const TailReport &Tails) {
+  const bool IsFirstChange = CurrentPace.ChangedAt == Instant();
+  const Duration SinceChange = Tails.MeasuredAt - CurrentPace.ChangedAt;
+  if (Tails.WorstTailRatio > ReduceRatio) {
+    const unsigned NewPercent =
+        reducedPercent(CurrentPace.Percent, Tails.WorstTailRatio);
+    return NewPercent != CurrentPace.Percent &&
+                   (IsFirstChange || SinceChange >= PaceEffectTime)
+               ? FillerPace{NewPercent, Tails.MeasuredAt}
+               : CurrentPace;
   }
-  if (Seen.WorstShare < Spare && Now.Percent < Whole && Since >= RisePeriod) {
-    return {std::min(Whole, Now.Percent + RiseStep), Seen.At};
+  if (Tails.WorstTailRatio < IncreaseRatio &&
+      CurrentPace.Percent < FullPercent && SinceChange >= IncreasePeriod) {
+    return {std::min(FullPercent, CurrentPace.Percent + IncreasePercent),
+            Tails.MeasuredAt};
   }
-  return Now;
+  return CurrentPace;
 }
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/Permits.cpp
+++ b/Source/Dispatch/Permits.cpp
@@ -1,61 +1,63 @@
 /// \file
-/// What is known of the placement policies' decisions.
+/// The cache of decisions by the placement policies.
 
 #include "balsamlatch/Dispatch/Permits.h"
 
 namespace balsamlatch::dispatch {
 
-const std::string *PermitBook::find(const StepRef &Step,
-                                    const WorkerLife &Worker,
-                                    Instant Until) const {
-  const auto Known = Steps.find(Step);
-  if (Known == Steps.end()) {
+const std::string *PermitCache::findTicket(const StepRef &Step,
+                                           const WorkerLife &Worker,
+                                           Instant Until) const {
+  const auto StepIt = DecisionsByStep.find(Step);
+  if (StepIt == DecisionsByStep.end()) {
     return nullptr;
   }
-  const auto Found = Known->second.find(Worker.Id);
-  const bool Good =
-      Found != Known->second.end() && !Found->second.Ticket.empty() &&
-      Found->second.Born == Worker.Born && Until < Found->second.ValidUntil;
-  return Good ? &Found->second.Ticket : nullptr;
+  const auto DecisionIt = StepIt->second.find(Worker.Id);
+  const bool IsValid = DecisionIt != StepIt->second.end() &&
+                       !DecisionIt->second.Ticket.empty() &&
+                       DecisionIt->second.Born == Worker.Born &&
+                       Until < DecisionIt->second.ValidUntil;
+  return IsValid ? &DecisionIt->second.Ticket : nullptr;
 }
 
-bool PermitBook::worthAsking(const StepRef &Step, const WorkerLife &Worker,
+bool PermitCache::needsQuery(const StepRef &Step, const WorkerLife &Worker,
                              Instant Until) const {
-  const auto Known = Steps.find(Step);
-  if (Known == Steps.end()) {
+  const auto StepIt = DecisionsByStep.find(Step);
+  if (StepIt == DecisionsByStep.end()) {
     return true;
   }
-  const auto Found = Known->second.find(Worker.Id);
-  return Found == Known->second.end() || (!Found->second.Ticket.empty() &&
-                                          find(Step, Worker, Until) == nullptr);
+  const auto DecisionIt = StepIt->second.find(Worker.Id);
+  return DecisionIt == StepIt->second.end() ||
+         (!DecisionIt->second.Ticket.empty() &&
+          findTicket(Step, Worker, Until) == nullptr);
 }
 
-void PermitBook::answered(const PermitQuery &Query, const PermitReply &Reply,
-                          Instant AskedAt) {
-  Decisions &Known = Steps[Query.Step];
+void PermitCache::store(const PermitQuery &Query, const PermitReply &Reply,
+                        Instant AskedAt) {
+  Decisions &StepDecisions = DecisionsByStep[Query.Step];
   for (const WorkerLife &Worker : Query.Workers) {
-    Known[Worker.Id] = {Worker.Born, "", {}};
+    StepDecisions[Worker.Id] = {Worker.Born, "", {}};
   }
-  for (const Permit &Each : Reply.Allowed) {
-    const auto Found = Known.find(Each.WorkerId);
-    if (Found != Known.end()) {
-      Found->second.Ticket = Each.Ticket;
-      Found->second.ValidUntil = AskedAt + Reply.Validity;
+  for (const Permit &GrantedPermit : Reply.Allowed) {
+    const auto DecisionIt = StepDecisions.find(GrantedPermit.WorkerId);
+    if (DecisionIt != StepDecisions.end()) {
+      DecisionIt->second.Ticket = GrantedPermit.Ticket;
+      DecisionIt->second.ValidUntil = AskedAt + Reply.Validity;
     }
   }
 }
 
-void PermitBook::drop(const StepRef &Step, const std::string &WorkerId) {
-  const auto Known = Steps.find(Step);
-  if (Known != Steps.end()) {
-    Known->second.erase(WorkerId);
+void PermitCache::remove(const StepRef &Step, const std::string &WorkerId) {
+  const auto StepIt = DecisionsByStep.find(Step);
+  if (StepIt != DecisionsByStep.end()) {
+    StepIt->second.erase(WorkerId);
   }
 }
 
-void PermitBook::forget(const JobId &Job) {
-  auto It = Steps.lower_bound({Job, 0, 0});
-  while (It != Steps.end() && It->first.Job == Job) {
-    It = Steps.erase(It);
+void PermitCache::removeJob(const JobId &Job) {
+  auto StepIt = DecisionsByStep.lower_bound({Job, 0, 0});
+  while (StepIt != DecisionsByStep.end() && StepIt->first.Job == Job) {
+    StepIt = DecisionsByStep.erase(StepIt);
   }
 }
 
--- a/Source/Dispatch/PoolPlanner.cpp
+++ b/Source/Dispatch/PoolPlanner.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sizes of pools and moves between them.
+/// Computes the desired size of each pool and the moves that lead to it.
 
 #include "balsamlatch/Dispatch/PoolPlanner.h"
 
@@ -9,73 +9,80 @@
 
 namespace {
 
-unsigned hostsFor(std::int64_t Amount, std::int64_t OfEach) {
-  return OfEach <= 0 ? 0
-                     : static_cast<unsigned>((Amount + OfEach - 1) / OfEach);
+unsigned hostsNeeded(std::int64_t Amount, std::int64_t PerHost) {
+  return PerHost <= 0 ? 0
+                      : static_cast<unsigned>((Amount + PerHost - 1) / PerHost);
 }
 
-/// Orders hosts that are easier to take away first: those that are vacant,
-/// then those with little to lose.
-bool easierToTake(const PoolHost &A, const PoolHost &B) {
-  if (A.Vacant != B.Vacant) {
-    return A.Vacant;
+/// Sorts hosts by how cheap they are to take: vacant ones first, then draining
+/// ones, then those with the least claimed CPU.
+bool isCheaperToTake(const PoolHost &Left, const PoolHost &Right) {
+  if (Left.IsVacant != Right.IsVacant) {
+    return Left.IsVacant;
   }
-  if (A.Draining != B.Draining) {
-    return A.Draining;
+  if (Left.IsDraining != Right.IsDraining) {
+    return Left.IsDraining;
   }
-  return A.UsedCpuMilli < B.UsedCpuMilli;
+  return Left.ClaimedCpuMilli < Right.ClaimedCpuMilli;
 }
 
-bool mayLeave(const PoolHost &Host, const PoolPlanner::Balances &All) {
-  const auto From = All.find(Host.Pool);
-  return From != All.end() && Host.Movable && !Host.Lasting &&
-         (From->second.Standby || From->second.Have > From->second.Want);
+bool canLeavePool(const PoolHost &Host,
+                  const PoolPlanner::Balances &PoolBalances) {
+  const auto Source = PoolBalances.find(Host.Pool);
+  return Source != PoolBalances.end() && Host.IsMovable &&
+         !Host.HasLastingTask &&
+         (Source->second.Standby ||
+          Source->second.HostCount > Source->second.DesiredHosts);
 }
 
-/// The pool that lacks most in relation to what it wants, or null.
-const PoolName *shortestPool(const PoolPlanner::Balances &All) {
-  const PoolName *Worst = nullptr;
-  for (const auto &[Name, Each] : All) {
-    if (!Each.Standby && Each.Have < Each.Want &&
-        (Worst == nullptr || Each.shorter(All.at(*Worst)))) {
-      Worst = &Name;
+/// The pool with the smallest ratio of hosts to desired hosts, or null if none
+/// is undersized.
+const PoolName *
+findMostUndersizedPool(const PoolPlanner::Balances &PoolBalances) {
+  const PoolName *MostUndersized = nullptr;
+  for (const auto &[Name, PoolEntry] : PoolBalances) {
+    if (!PoolEntry.Standby && PoolEntry.HostCount < PoolEntry.DesiredHosts &&
+        (MostUndersized == nullptr ||
+         PoolEntry.isMoreUndersizedThan(PoolBalances.at(*MostUndersized)))) {
+      MostUndersized = &Name;
     }
   }
-  return Worst;
+  return MostUndersized;
 }
 
-/// A host to take for the pool: a vacant one that is paid for, then one from
-/// standby, then one that has to drain first.
-std::vector<PoolHost>::iterator findDonor(const PoolPlanner::Balances &All,
-                                          std::vector<PoolHost> &Hosts,
-                                          const PoolName &To) {
-  auto Best = Hosts.end();
-  int BestClass = 3;
-  for (auto It = Hosts.begin(); It != Hosts.end(); ++It) {
-    if (It->Pool == To || !mayLeave(*It, All)) {
+/// The best host to move to the pool. A vacant host of another pool comes first
+/// as it is paid for already, then one from standby, then one that has to
+/// drain.
+std::vector<PoolHost>::iterator
+findDonor(const PoolPlanner::Balances &PoolBalances,
+          std::vector<PoolHost> &Hosts, const PoolName &TargetPool) {
+  auto BestDonor = Hosts.end();
+  int BestCostClass = 3;
+  for (auto HostIt = Hosts.begin(); HostIt != Hosts.end(); ++HostIt) {
+    if (HostIt->Pool == TargetPool || !canLeavePool(*HostIt, PoolBalances)) {
       continue;
     }
-    const bool Standby = All.at(It->Pool).Standby;
-    const int Class = Standby ? 1 : (It->Vacant ? 0 : 2);
-    if (Class < BestClass) {
-      Best = It;
-      BestClass = Class;
+    const bool IsStandby = PoolBalances.at(HostIt->Pool).Standby;
+    const int CostClass = IsStandby ? 1 : (HostIt->IsVacant ? 0 : 2);
+    if (CostClass < BestCostClass) {
+      BestDonor = HostIt;
+      BestCostClass = CostClass;
     }
   }
-  return Best;
+  return BestDonor;
 }
 
-void coverShortages(PoolPlanner::Balances &All, std::vector<PoolHost> &Hosts,
-                    PoolPlan &Plan) {
-  while (const PoolName *To = shortestPool(All)) {
-    const auto Donor = findDonor(All, Hosts, *To);
+void coverShortages(PoolPlanner::Balances &PoolBalances,
+                    std::vector<PoolHost> &Hosts, PoolPlan &Plan) {
+  while (const PoolName *TargetPool = findMostUndersizedPool(PoolBalances)) {
+    const auto Donor = findDonor(PoolBalances, Hosts, *TargetPool);
     if (Donor == Hosts.end()) {
       return;
     }
-    --All[Donor->Pool].Have;
-    ++All[*To].Have;
-    if (Donor->Vacant) {
-      Plan.Moves.push_back({Donor->Name, *To});
+    --PoolBalances[Donor->Pool].HostCount;
+    ++PoolBalances[*TargetPool].HostCount;
+    if (Donor->IsVacant) {
+      Plan.Moves.push_back({Donor->Name, *TargetPool});
     } else {
       Plan.Drains.push_back(Donor->Name);
     }
@@ -83,10 +90,10 @@
   }
 }
 
-Resources usualCapacity(const std::vector<PoolHost> &Hosts) {
+Resources meanCapacity(const std::vector<PoolHost> &Hosts) {
   Resources Sum;
-  for (const PoolHost &Each : Hosts) {
-    Sum += Each.Capacity;
+  for (const PoolHost &Host : Hosts) {
+    Sum += Host.Capacity;
   }
   const auto Count =
       static_cast<std::int64_t>(std::max<std::size_t>(1, Hosts.size()));
@@ -95,78 +102,83 @@
 
 } // namespace
 
-void PoolPlanner::reset() { Known.clear(); }
+void PoolPlanner::reset() { HistoryByPool.clear(); }
 
-unsigned PoolPlanner::wanted(Instant Now, const PoolName &Pool,
-                             const PoolDemand &Demand,
-                             const Resources &HostCapacity) {
-  const auto Padded = [this](std::int64_t Amount) {
+unsigned PoolPlanner::desiredHosts(Instant Now, const PoolName &Pool,
+                                   const PoolDemand &Demand,
+                                   const Resources &HostCapacity) {
+  const auto WithHeadroom = [this](std::int64_t Amount) {
     return Amount * (100 + Settings.HeadroomPercent) / 100;
   };
-  const unsigned AtOnce =
-      std::max(hostsFor(Padded(Demand.Ending.CpuMilli), HostCapacity.CpuMilli),
-               hostsFor(Padded(Demand.Ending.MemoryMb), HostCapacity.MemoryMb));
-  const unsigned Least =
-      std::max({Demand.LastingHosts, Demand.HostsLacking, Settings.LeastHosts});
-  std::map<Instant, unsigned> &Past = Known[Pool].Wanted;
-  Past.erase(Past.begin(), Past.lower_bound(Now));
-  Past[Now + Settings.Memory] = std::max(AtOnce, Least);
-  unsigned Most = 0;
-  for (const auto &[Until, Count] : Past) {
-    Most = std::max(Most, Count);
+  const unsigned BatchHosts =
+      std::max(hostsNeeded(WithHeadroom(Demand.BatchResources.CpuMilli),
+                           HostCapacity.CpuMilli),
+               hostsNeeded(WithHeadroom(Demand.BatchResources.MemoryMb),
+                           HostCapacity.MemoryMb));
+  const unsigned MinHosts = std::max(
+      {Demand.LastingHosts, Demand.HostsForUnplaced, Settings.MinHosts});
+  std::map<Instant, unsigned> &RecentDemand = HistoryByPool[Pool].RecentDemand;
+  RecentDemand.erase(RecentDemand.begin(), RecentDemand.lower_bound(Now));
+  RecentDemand[Now + Settings.DemandWindow] = std::max(BatchHosts, MinHosts);
+  unsigned PeakHosts = 0;
+  for (const auto &[ValidUntil, HostCount] : RecentDemand) {
+    PeakHosts = std::max(PeakHosts, HostCount);
   }
-  return Most;
+  return PeakHosts;
 }
 
 PoolPlan PoolPlanner::plan(Instant Now, const std::vector<Pool> &Pools,
                            const std::map<PoolName, PoolDemand> &Demand,
                            std::vector<PoolHost> Hosts) {
-  Balances All;
-  PoolName Standby;
-  const Resources Usual = usualCapacity(Hosts);
-  for (const Pool &Each : Pools) {
-    Balance &New = All[Each.Name];
-    New.Standby = Each.Standby;
-    if (Each.Standby) {
-      Standby = Each.Name;
+  Balances PoolBalances;
+  PoolName StandbyPool;
+  const Resources HostCapacity = meanCapacity(Hosts);
+  for (const Pool &PoolEntry : Pools) {
+    Balance &PoolBalance = PoolBalances[PoolEntry.Name];
+    PoolBalance.Standby = PoolEntry.Standby;
+    if (PoolEntry.Standby) {
+      StandbyPool = PoolEntry.Name;
       continue;
     }
-    const auto Found = Demand.find(Each.Name);
-    New.Want =
-        wanted(Now, Each.Name,
-               Found == Demand.end() ? PoolDemand() : Found->second, Usual);
+    const auto It = Demand.find(PoolEntry.Name);
+    PoolBalance.DesiredHosts = desiredHosts(
+        Now, PoolEntry.Name, It == Demand.end() ? PoolDemand() : It->second,
+        HostCapacity);
   }
-  for (const PoolHost &Each : Hosts) {
-    const auto Found = All.find(Each.Pool);
-    if (Found != All.end()) {
-      ++Found->second.Have;
+  for (const PoolHost &Host : Hosts) {
+    const auto It = PoolBalances.find(Host.Pool);
+    if (It != PoolBalances.end()) {
+      ++It->second.HostCount;
     }
   }
-  std::sort(Hosts.begin(), Hosts.end(), easierToTake);
+  std::sort(Hosts.begin(), Hosts.end(), isCheaperToTake);
   PoolPlan Plan;
-  coverShortages(All, Hosts, Plan);
-  if (!Standby.empty()) {
-    giveBack(Now, Standby, All, Hosts, Plan);
+  coverShortages(PoolBalances, Hosts, Plan);
+  if (!StandbyPool.empty()) {
+    releaseSurplus(Now, StandbyPool, PoolBalances, Hosts, Plan);
   }
   return Plan;
 }
 
-void PoolPlanner::giveBack(Instant Now, const PoolName &Standby, Balances &All,
-                           const std::vector<PoolHost> &Hosts, PoolPlan &Plan) {
-  for (auto &[Name, Each] : All) {
-    Memory &Past = Known[Name];
-    if (Each.Standby || Each.Have <= Each.Want ||
-        Past.SurplusSince == Instant()) {
-      Past.SurplusSince = Now;
+void PoolPlanner::releaseSurplus(Instant Now, const PoolName &StandbyPool,
+                                 Balances &PoolBalances,
+                                 const std::vector<PoolHost> &Hosts,
+                                 PoolPlan &Plan) {
+  for (auto &[Name, PoolEntry] : PoolBalances) {
+    PoolHistory &History = HistoryByPool[Name];
+    if (PoolEntry.Standby || PoolEntry.HostCount <= PoolEntry.DesiredHosts ||
+        History.SurplusSince == Instant()) {
+      History.SurplusSince = Now;
       continue;
     }
-    if (Now - Past.SurplusSince < Settings.IdleTime) {
+    if (Now - History.SurplusSince < Settings.SurplusDelay) {
       continue;
     }
     for (const PoolHost &Host : Hosts) {
-      if (Host.Pool == Name && Host.Vacant && mayLeave(Host, All)) {
-        --Each.Have;
-        Plan.Moves.push_back({Host.Name, Standby});
+      if (Host.Pool == Name && Host.IsVacant &&
+          canLeavePool(Host, PoolBalances)) {
+        --PoolEntry.HostCount;
+        Plan.Moves.push_back({Host.Name, StandbyPool});
       }
     }
   }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Deployment.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Deployment.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the operator has configured: queues and the pools that run their jobs;
-/// and what the workers say of themselves.
+/// The operator's configuration of queues and of the pools that run their jobs,
+/// and the registrations of the workers.
 
 #ifndef BALSAMLATCH_DISPATCH_DEPLOYMENT_H
 #define BALSAMLATCH_DISPATCH_DEPLOYMENT_H
@@ -23,8 +23,8 @@
 using jobs::TaskRef;
 using jobs::WorkerLife;
 
-/// A queue's steps may run on some workers only, which a policy service
-/// decides, and what its decisions take.
+/// Marks a queue whose steps run only on workers that a policy service permits,
+/// and tells how long its decisions take.
 struct PlacementPolicy {
   Duration DecisionTime{};
   Duration TimePerWorker{};
@@ -32,39 +32,43 @@
   auto operator<=>(const PlacementPolicy &) const = default;
 };
 
+/// A queue: which requests it takes, and how their jobs are scheduled.
 struct Queue {
   QueueName Name;
-  /// Requests whose Host header equals Host and whose path begins with Prefix
-  /// belong to the queue; the longest prefix wins.
+  /// The queue takes requests whose Host header equals Host and whose path
+  /// begins with Prefix; the longest prefix wins.
   std::string Host;
   std::string Prefix;
   PoolName Pool;
-  /// Longest time that a caller's request may take.
+  /// Timeout of a caller's request.
   Duration Timeout{};
-  /// A job is on time within Stretch times its longest chain of work and this.
+  /// A job is on time if it ends within Stretch times the estimated time of its
+  /// longest chain of steps plus this.
   Duration LatencyObjective{};
   double Stretch = 1;
-  /// 0 comes first.
+  /// 0 is the highest priority.
   unsigned Priority = 0;
-  /// Failed runs of one task after which its job has failed.
+  /// A job fails when a task of it has failed this many times.
   unsigned MaxAttempts = 1;
-  /// Unset: any worker of the pool will do.
+  /// If unset, tasks may run on any worker of the pool.
   std::optional<PlacementPolicy> Policy;
 
   auto operator<=>(const Queue &) const = default;
 };
 
+/// A pool of hosts.
 struct Pool {
   PoolName Name;
-  /// Hosts of the pool are switched off and cost nothing.
+  /// Hosts in the pool are switched off and cost nothing.
   bool Standby = false;
-  /// The pool's workers refuse what doesn't fit.
+  /// The pool's workers refuse runs that exceed their capacity.
   bool GuardsCapacity = true;
 
   auto operator<=>(const Pool &) const = default;
 };
 
-/// One version of the operator's configuration. Version 0 is none.
+/// A version of the operator's configuration. Version 0 means that there is
+/// none.
 struct Deployment {
   std::uint64_t Version = 0;
   std::vector<Queue> Queues;
@@ -74,7 +78,7 @@
   Duration HeaderTimeout{};
   Duration IdleTimeout{};
 
-  /// The queue that a request belongs to, or null.
+  /// Returns the queue for a request, or null.
   const Queue *match(std::string_view Host, std::string_view Path) const;
   const Queue *find(const QueueName &Name) const;
   const Pool *find(const PoolName &Name) const;
@@ -82,16 +86,17 @@
   auto operator<=>(const Deployment &) const = default;
 };
 
+/// Where a worker takes orders.
 struct WorkerAddress {
   std::string Ip;
   std::uint16_t Port = 0;
-  /// The worker that is meant; another one at the address refuses.
+  /// The intended worker; another worker at the address refuses the order.
   std::string WorkerId;
 
   auto operator<=>(const WorkerAddress &) const = default;
 };
 
-/// What a worker has registered about itself.
+/// The registration of a worker.
 struct WorkerRecord {
   WorkerLife Life;
   PoolName Pool;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -1,13 +1,13 @@
 /// \file
-/// The holder's decisions: which task runs where, what the workers are told,
-/// and what their answers mean for the jobs. Pure: events and orders come out
-/// as values, time comes from the clock.
+/// The job scheduler of the lease holder, which is the entry that leads the
+/// jobs at present. Decides which task runs on which worker, which orders the
+/// workers get, and what their replies mean for the jobs. It does no I/O:
+/// events and orders are returned as values, and time comes from the clock.
 ///
-/// A run goes through three steps so that it never overlaps another one of its
-/// task: it is proposed as an event; once the journal holds the event its start
-/// is ordered; and its task is placed again only after the run is known to have
-/// ended, or can't run any longer since every lease that it may have has run
-/// out.
+/// Runs of the same task never overlap. A placement is first proposed as an
+/// event; the start is ordered once the journal holds the event; and the task
+/// is placed again only after the run is known to have ended, or every lease
+/// that it may hold has expired.
 
 #ifndef BALSAMLATCH_DISPATCH_DISPATCHER_H
 #define BALSAMLATCH_DISPATCH_DISPATCHER_H
@@ -24,122 +24,149 @@
 namespace balsamlatch::dispatch {
 
 struct DispatchOptions {
-  /// How long runs go on without a renewal. Short, so that tasks of a lost
-  /// worker start elsewhere soon; long enough for a change of the holder.
+  /// Lease duration of runs: how long they continue without a renewal. Short,
+  /// so that tasks of a lost worker restart elsewhere soon, but long enough for
+  /// a change of the lease holder.
   Duration RunLease = std::chrono::seconds(4);
-  /// A worker's clock may be this much slow, in percent.
+  /// How much slower a worker's clock may run, in percent.
   unsigned ClockSlackPercent = 3;
-  /// How long an earlier holder may have renewed leases without the store.
+  /// How long an earlier lease holder may have renewed run leases while it
+  /// could not reach the store.
   Duration StorelessRenewal = std::chrono::seconds(6);
-  /// How long a hold waits at a worker for an end.
+  /// Long-poll time of a hold: how long the worker waits for a run to end
+  /// before it replies.
   Duration HoldWait = std::chrono::milliseconds(1000);
-  /// The same while a lasting task has not begun its work: nothing tells of
-  /// that but an answer.
+  /// Long-poll time while a lasting task has not started its work, since only a
+  /// reply shows that it has.
   Duration StartingHoldWait = std::chrono::milliseconds(250);
-  /// The same while fillers run next to serving tasks, whose tails tell how
-  /// fast the fillers may work.
+  /// Long-poll time while fillers share a worker with serving tasks, since the
+  /// tail latencies in the replies control the pace of the fillers.
   Duration SharedHoldWait = std::chrono::milliseconds(400);
-  /// Time between holds of a worker without runs.
+  /// Time between holds for a worker without runs.
   Duration IdleHoldPeriod = std::chrono::milliseconds(2000);
-  /// Time between two holds that report ends, so that ends are batched.
-  Duration HoldGap = std::chrono::milliseconds(20);
-  /// A run whose progress stands still for this long is stopped.
-  Duration StallLimit = std::chrono::milliseconds(2500);
-  /// How long the state of a final job is kept.
+  /// Time from a reply to the next hold for a worker with runs, so that ends
+  /// are reported in batches.
+  Duration HoldPeriod = std::chrono::milliseconds(20);
+  /// A run without progress for this long is stopped.
+  Duration StallTimeout = std::chrono::milliseconds(2500);
+  /// How long the state of a closed job is kept.
   Duration StatusRetention = std::chrono::seconds(120);
 };
 
+/// Schedules jobs while this entry is the lease holder.
 class Dispatcher {
 public:
   Dispatcher(const Clock &TimeSource, DispatchOptions Options, LogSink &Sink);
 
-  /// Begins a term with the book as the journal has it. The book must outlive
-  /// the term. All that is placed in it may still run.
+  /// Begins a term with the jobs as recorded in the journal; \p Jobs must
+  /// outlive the term. Every placed task in it may still be running.
   void begin(FencingToken Token, const jobs::JobBook &Jobs);
-  /// Ends the term; nothing is ordered any more.
+  /// Ends the term and drops all pending events and orders.
   void end();
 
   void configure(std::shared_ptr<const Deployment> Config);
-  /// The workers that are registered now.
+  /// Sets the workers that are registered now.
   void setWorkers(const std::map<std::string, WorkerRecord> &Records);
 
-  /// The journal holds the events, and the book has them applied.
-  void recorded(const std::vector<jobs::JobEvent> &Events);
+  /// The journal holds the events, and they are applied to the job book.
+  void recorded(const std::vector<jobs::JobEvent> &RecordedEvents);
 
+  /// Take the outcome of an order, and for a hold the report of the worker.
   void holdAnswered(const std::string &WorkerId, Instant SentAt,
                     OrderOutcome Outcome, const HoldReport &Report);
   void startAnswered(const StartOrder &Order, OrderOutcome Outcome);
   void stopAnswered(const StopOrder &Order, OrderOutcome Outcome);
   void paceAnswered(const PaceOrder &Order, OrderOutcome Outcome);
 
-  /// Does what is due. Call after other inputs, and at least every 20 ms.
-  /// Without \p MayPlace no new run is proposed.
+  /// Does all work that is due. Call after other inputs, and at least every
+  /// 20 ms. Without \p MayPlace no new run is proposed; without \p MayRenew no
+  /// lease is renewed.
   void tick(bool MayPlace, bool MayRenew);
 
-  /// What to record, and whom to tell what. Taken once. Events are taken only
-  /// when those taken before are recorded.
+  /// Return and clear the events to record and the orders to send. Events may
+  /// be taken only after those taken before are recorded.
   std::vector<jobs::JobEvent> takeEvents();
   std::vector<WorkerOrder> takeOrders();
-  /// What to ask the placement policies; at most \p Limit queries are out at
-  /// a time, one of a step.
+  /// Returns and clears the queries to send to the placement policies. At most
+  /// QueryLimit queries are in flight at a time, and at most one per step.
   std::vector<PermitQuery> takeQueries();
   void limitQueries(std::size_t Limit) { QueryLimit = Limit; }
-  /// Unset: there is no answer.
+  /// \p Reply is unset if the policy service did not reply.
   void queryAnswered(const PermitQuery &Query, Instant AskedAt,
                      const std::optional<PermitReply> &Reply);
 
-  /// A worker has seen a higher token: this term is over.
+  /// Whether a worker has seen a higher fencing token, which ends this term.
   bool fenced() const { return Fenced; }
 
   const WorkerTable &workers() const { return Workers; }
-  /// Pools whose usable workers can't take work that has waited for a while,
-  /// and how many hosts it would take to run it.
-  const std::map<PoolName, unsigned> &hostsLacking() const { return Lacking; }
+  /// Pools with work that has not fitted on any usable worker for a while, and
+  /// the total number of hosts each of them needs to run it.
+  const std::map<PoolName, unsigned> &requiredHosts() const {
+    return RequiredHosts;
+  }
   Instant now() const { return Time.now(); }
-  void setCordoned(const std::string &WorkerId, bool Cordoned);
-  /// An order that ends all that runs on the worker is about to be sent, or
-  /// was refused.
-  void setLeaving(const std::string &WorkerId, bool Leaving);
-  /// Stops the task's run there; it waits to be placed again.
+  void setCordoned(const std::string &WorkerId, bool IsCordoned);
+  /// Marks the worker while an order that ends all of its runs is open for its
+  /// host, and cordons it for that time.
+  void setHostOrderPending(const std::string &WorkerId, bool OrderPending);
+  /// Stops the run of the task on the worker, so that the task is placed again.
   void moveRun(const std::string &WorkerId, const TaskRef &Task);
-  /// The workers that run on some host. What can't be reached and isn't among
-  /// them in two lists has ended.
+  /// Takes the workers on any host by the latest host list. A worker that can't
+  /// be reached and is missing from two lists in a row counts as ended.
   void setHostedWorkers(const std::set<std::string> &Ids);
-  /// The worker's host was moved or maintained: all that ran there has ended.
-  void hostTaken(const std::string &WorkerId);
+  /// The host of the worker was moved or maintained, so all runs on the worker
+  /// have ended.
+  void handleHostGone(const std::string &WorkerId);
 
 private:
+  /// Null if the worker is unknown or in another life.
   WorkerState *findWorker(const WorkerLife &Life);
+  /// Null if the task has no run with this number on the worker.
   RunState *findRun(const std::string &WorkerId, const TaskRef &Task,
                     std::uint32_t Run);
-  void adoptPlaced(const jobs::Job &Owner);
-  void recordOf(const jobs::TaskPlaced &Event);
-  void recordOf(const jobs::TaskEnded &Event);
-  void recordOf(const jobs::JobClosed &Event);
-  void recordOf(const jobs::JobAccepted &Event);
-  template <typename Other> void recordOf(const Other &) {}
-
-  void noteRecorded(WorkerState &Worker, std::uint64_t Number);
+  /// Tracks the runs of the job that an earlier lease holder has placed.
+  void adoptPlacedRuns(const jobs::Job &Job);
+  void applyRecorded(const jobs::TaskPlaced &Event);
+  void applyRecorded(const jobs::TaskEnded &Event);
+  void applyRecorded(const jobs::JobClosed &Event);
+  void applyRecorded(const jobs::JobAccepted &Event);
+  template <typename EventType> void applyRecorded(const EventType &) {}
+
+  /// Raises the number up to which the ends of the worker are recorded.
+  void advanceRecordedEnds(WorkerState &Worker, std::uint64_t Number);
+  /// Proposes an event for the end of the run and releases its claim.
   void proposeEnd(WorkerState &Worker, const TaskRef &Task, RunState &Run,
-                  jobs::RunEnd How, const std::string &Checkpoint);
-  static void release(WorkerState &Worker, RunState &Run);
-  static Resources claimOf(const jobs::StepSpec &Step);
-  void noteHealth(WorkerState &Worker, const TaskRef &Task, jobs::RunEnd How);
-  /// The other members of a gang can't go on without the one that ended.
-  void stopGang(const TaskRef &Ended, std::uint32_t Run);
+                  jobs::RunEnd End, const std::string &Checkpoint);
+  static void releaseClaim(WorkerState &Worker, RunState &Run);
+  /// Resources that a run claims. Fillers claim no CPU.
+  static Resources claimFor(const jobs::StepSpec &Step);
+  /// Counts consecutive failures, after which the worker is avoided.
+  void updateWorkerHealth(WorkerState &Worker, const TaskRef &Task,
+                          jobs::RunEnd End);
+  /// Stops the other members of a gang after one of them has ended.
+  void stopGangPeers(const TaskRef &EndedMember, std::uint32_t Run);
+  /// Proposes to close a job whose tasks have all completed, or one of whose
+  /// tasks
+  /// has used all attempts.
   void closeIfDone(const JobId &Id);
-  void loseAll(WorkerState &Worker, std::string_view Why);
-  void takeLife(WorkerState &Worker, std::int64_t Born);
-  void takeEnds(WorkerState &Worker, const HoldReport &Report);
-  /// An end of a run that isn't expected any more.
-  void takeLateEnd(const EndedTask &Ended);
-  void takeRunning(WorkerState &Worker, const HoldReport &Report,
-                   Instant SentAt);
-  void settleMissing(WorkerState &Worker, const std::set<TaskRef> &Present,
-                     Instant SentAt);
-  void noteProgress(WorkerState &Worker, const RunningTask &Seen,
-                    RunState &Run);
-  void stopOrphan(const WorkerState &Worker, const RunningTask &Seen);
+  /// Declares all runs on the worker lost.
+  void endAllAsLost(WorkerState &Worker, std::string_view Reason);
+  /// Switches to another life of the worker; runs of earlier lives are lost.
+  void setWorkerLife(WorkerState &Worker, std::int64_t Born);
+  void processEndedRuns(WorkerState &Worker, const HoldReport &Report);
+  /// Handles the end of a run that is no longer tracked, such as one that was
+  /// declared lost.
+  void processLateEnd(const EndedTask &EndedRun);
+  void processRunningTasks(WorkerState &Worker, const HoldReport &Report,
+                           Instant SentAt);
+  /// Declares runs lost that are missing from a report and can't start later.
+  void resolveMissingRuns(WorkerState &Worker,
+                          const std::set<TaskRef> &ReportedTasks,
+                          Instant SentAt);
+  void updateProgress(WorkerState &Worker, const RunningTask &ReportedRun,
+                      RunState &Run);
+  void stopOrphanedRun(const WorkerState &Worker,
+                       const RunningTask &ReportedRun);
 
   void expireLeases(Instant Now);
   void orderStops(WorkerState &Worker);
@@ -147,35 +174,45 @@
   void adjustPace(WorkerState &Worker, Instant Now);
   void orderHold(WorkerState &Worker, Instant Now, bool MayRenew);
   void orderStart(WorkerState &Worker, const TaskRef &Task, RunState &Run);
-  void extendLapse(WorkerState &Worker, Instant Now);
-  void forgetOld();
+  /// Raises LeasesExpireAt for leases that are granted at \p Now.
+  void extendLeaseExpiry(WorkerState &Worker, Instant Now);
+  void forgetClosedJobs();
 
-  void noteArrival(const jobs::Job &Owner);
+  /// Adds a new job to the mean work of its queue.
+  void updateMeanWork(const jobs::Job &NewJob);
   void plan(Instant Now);
-  struct Candidate;
-  using PoolWorkers = std::map<PoolName, std::vector<WorkerState *>>;
-  std::vector<Candidate> candidates() const;
-  void collect(const jobs::Job &Owner, const Queue &From,
-               std::vector<Candidate> &Into) const;
-  std::vector<unsigned> waitingTasks(const Candidate &Which) const;
-  /// Return how many tasks found no worker.
-  std::size_t placeStep(const Candidate &Which,
-                        const std::vector<WorkerState *> &Among);
-  std::size_t placeGang(const Candidate &Which,
-                        const std::vector<unsigned> &Indexes,
-                        const std::vector<WorkerState *> &Among);
+  struct WaitingStep;
+  using WorkersByPool = std::map<PoolName, std::vector<WorkerState *>>;
+  std::vector<WaitingStep> findWaitingSteps() const;
+  void appendWaitingSteps(const jobs::Job &ParentJob, const Queue &JobQueue,
+                          std::vector<WaitingStep> &Candidates) const;
+  /// Indexes of the tasks that wait for a worker.
+  std::vector<unsigned> waitingTasks(const WaitingStep &Candidate) const;
+  /// These two return the number of tasks that no worker could take.
+  std::size_t placeStep(const WaitingStep &Candidate,
+                        const std::vector<WorkerState *> &UsableWorkers);
+  std::size_t placeGang(const WaitingStep &Candidate,
+                        const std::vector<unsigned> &TaskIndexes,
+                        const std::vector<WorkerState *> &UsableWorkers);
+  /// Workers for all tasks of a gang, or none if they don't all fit.
   std::vector<WorkerState *>
-  chooseGang(const Candidate &Which, const std::vector<unsigned> &Indexes,
-             const std::vector<WorkerState *> &Among);
-  void noteUnplaced(const Candidate &Which, std::size_t Tasks, Instant Since,
-                    const std::vector<WorkerState *> &Among);
-  WorkerState *choose(const Candidate &Which, unsigned Index,
-                      const std::vector<WorkerState *> &Among) const;
-  void propose(const Candidate &Which, unsigned Index, WorkerState &Worker,
-               std::uint32_t Run);
-  void queryPermits(const std::vector<Candidate> &Waiting,
-                    const PoolWorkers &Usable, Instant Now);
-  bool proposed(const TaskRef &Task) const { return Proposed.contains(Task); }
+  chooseGangWorkers(const WaitingStep &Candidate,
+                    const std::vector<unsigned> &TaskIndexes,
+                    const std::vector<WorkerState *> &UsableWorkers);
+  /// Updates RequiredHosts for a step with unplaced tasks.
+  void recordUnplaced(const WaitingStep &Candidate, std::size_t UnplacedTasks,
+                      Instant WaitingSince,
+                      const std::vector<WorkerState *> &UsableWorkers);
+  WorkerState *
+  chooseWorker(const WaitingStep &Candidate, unsigned Index,
+               const std::vector<WorkerState *> &UsableWorkers) const;
+  void proposePlacement(const WaitingStep &Candidate, unsigned Index,
+                        WorkerState &Worker, std::uint32_t Run);
+  void queryPermits(const std::vector<WaitingStep> &Candidates,
+                    const WorkersByPool &UsableByPool, Instant Now);
+  bool isProposed(const TaskRef &Task) const {
+    return ProposedTasks.contains(Task);
+  }
 
   const Clock &Time;
   const DispatchOptions Settings;
@@ -183,33 +220,35 @@
   const jobs::JobBook *Book = nullptr;
   std::shared_ptr<const Deployment> Config;
   FencingToken Token;
-  Instant TermBegan{};
+  Instant TermStart{};
   bool Fenced = false;
   bool PlanNeeded = false;
   Instant NextPlanAt{};
   Instant NextForgetAt{};
   WorkerTable Workers;
-  // Tasks with a placement that the journal doesn't hold yet.
-  std::set<TaskRef> Proposed;
-  std::set<JobId> CloseProposed;
-  // Mean processor milliseconds of the jobs of a queue, recent ones more.
-  std::map<QueueName, double> MeanWork;
+  // Tasks with a proposed placement that is not recorded yet.
+  std::set<TaskRef> ProposedTasks;
+  // Jobs with a proposed close that is not recorded yet.
+  std::set<JobId> ClosingJobs;
+  // Moving average of the estimated work per job of a queue, in CPU
+  // milliseconds.
+  std::map<QueueName, double> MeanWorkByQueue;
   std::set<JobId> OpenJobs;
-  // Where the last run of a task failed or stood still, so that the next one
-  // goes elsewhere.
-  std::map<TaskRef, std::string> LastFailedOn;
-  // Workers of the runs that are Ending.
-  std::unordered_map<TaskRef, std::string> EndingAt;
-  // Since when steps have tasks that no usable worker can take.
+  // The worker on which the last run of a task failed or stalled, so that the
+  // next run prefers another one.
+  std::map<TaskRef, std::string> LastFailedWorker;
+  // The workers of runs in phase Ending.
+  std::unordered_map<TaskRef, std::string> WorkerOfEndingRun;
+  // When steps were first found to have tasks that no usable worker can take.
   std::map<StepRef, Instant> UnplacedSince;
-  std::map<PoolName, unsigned> Lacking;
-  PermitBook Permits;
+  std::map<PoolName, unsigned> RequiredHosts;
+  PermitCache Permits;
   std::vector<PermitQuery> Queries;
-  std::set<StepRef> QueriesOut;
+  std::set<StepRef> QueriesInFlight;
   std::size_t QueryLimit = 1;
   Instant NextQueryAt{};
-  // Events were taken and are not recorded yet.
-  bool BatchOpen = false;
+  // Whether events were taken that are not recorded yet.
+  bool BatchInFlight = false;
   std::vector<jobs::JobEvent> Events;
   std::vector<WorkerOrder> Orders;
 };
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
@@ -1,8 +1,8 @@
 /// \file
-/// Decides which hosts are maintained or moved next: within each wave's bound
-/// and time, where pools are short of hosts, without taking more of a lasting
-/// step away than its caller allows, and without cutting work off while there
-/// is time to let it end.
+/// Decides which hosts are maintained next, within the limits of each wave on
+/// time and on hosts away at once, and which hosts move between pools. It never
+/// makes more tasks of a lasting step unavailable than the caller allows, and
+/// it drains a host before it cuts off work that would end by itself.
 
 #ifndef BALSAMLATCH_DISPATCH_HOSTKEEPER_H
 #define BALSAMLATCH_DISPATCH_HOSTKEEPER_H
@@ -14,33 +14,34 @@
 namespace balsamlatch::dispatch {
 
 struct HostKeeperOptions {
-  /// A host that an earlier holder ordered lately isn't ordered in the first
-  /// part of a term, so that two holders never take turns on it.
+  /// For this long after the start of a term, hosts that the earlier lease
+  /// holder ordered recently get no order, so that two holders never issue
+  /// conflicting orders for a host.
   Duration SettleTime = std::chrono::milliseconds(3500);
-  /// Time for which a host is kept free of new work before its runs are cut
-  /// off.
-  Duration DrainLimit = std::chrono::seconds(7);
-  /// What a host is away for maintenance, and for a move.
+  /// How long a host may drain before its remaining runs are cut off.
+  Duration DrainTimeout = std::chrono::seconds(7);
+  /// Time for which a host is away for maintenance, and for a move.
   Duration MaintenanceTime = std::chrono::seconds(2);
   Duration MoveTime = std::chrono::milliseconds(1500);
-  /// Part of a wave's time that is left unused, in percent.
-  unsigned WaveSparePercent = 25;
+  /// Part of a wave's time that is kept in reserve, in percent.
+  unsigned WaveReservePercent = 25;
   PoolPlannerOptions Pools;
 };
 
-/// An order about a host that is due. The caller carries it out and reports
-/// the outcome.
+/// An order to maintain or move a host. The caller sends it to the platform and
+/// reports the outcome.
 struct HostOrder {
   HostName Host;
-  /// The worker that runs there and ends by the order; empty for none.
+  /// The worker on the host, which the order ends; empty for none.
   std::string WorkerId;
-  /// The wave that the host is maintained for; 0 for a move.
+  /// The number of the maintenance wave; 0 for a move.
   std::uint64_t Wave = 0;
   PoolName MoveTo;
 
   auto operator<=>(const HostOrder &) const = default;
 };
 
+/// All hosts of the wave are done.
 struct WaveCompleted {
   std::uint64_t Wave = 0;
 
@@ -49,103 +50,116 @@
 
 using HostDecision = std::variant<HostOrder, WaveCompleted>;
 
+/// Tracks maintenance waves, host orders and moves, and decides on new ones.
 class HostKeeper {
 public:
   HostKeeper(const Clock &TimeSource, HostKeeperOptions Options, LogSink &Sink);
 
+  /// Begins a term without any state of earlier ones.
   void begin();
-  /// The hosts that the earlier holder has ordered last, from its
-  /// recentOrders(). Nothing is decided before.
+  /// Sets the hosts that the earlier lease holder ordered recently, from its
+  /// recentOrders(). Nothing is decided before this is known.
   void setEarlierOrders(std::set<HostName> Hosts);
   /// Hosts that were ordered in the last SettleTime.
   std::set<HostName> recentOrders() const;
-  /// The hosts as listed after all orders that were answered so far.
-  void setHosts(std::vector<HostRecord> Hosts, Dispatcher &Workers);
-  /// A wave that is already completed is not given again. \p UnderWay: for how
-  /// long earlier holders have known of it.
-  void addWave(const WaveRequest &Wave, Duration UnderWay = {});
+  /// Takes a host list that was made after all replies so far.
+  void setHosts(std::vector<HostRecord> Hosts, Dispatcher &JobDispatcher);
+  /// Adds a wave; the caller must not add a completed one again. \p ElapsedTime
+  /// is the time for which earlier lease holders have already worked on it.
+  void addWave(const WaveRequest &Wave, Duration ElapsedTime = {});
   bool hasWave(std::uint64_t Number) const { return Waves.contains(Number); }
-  /// Whether orders are open or a wave is under way, so that the host list
-  /// matters now.
+  /// Whether a wave, an order or a move is in progress, so that the host list
+  /// is needed often.
   bool busy() const;
 
-  std::vector<HostDecision> decide(Dispatcher &Workers,
+  /// Returns the orders and completed waves that are due now.
+  std::vector<HostDecision> decide(Dispatcher &JobDispatcher,
                                    const jobs::JobBook &Jobs,
                                    const Deployment &Config);
 
-  /// The platform took the order, or was never heard of again. It takes an
-  /// order that was carried out before without doing anything, so what became
-  /// of the host's worker is told by the next list.
-  void answered(const HostOrder &Order, bool Taken);
+  /// The platform accepted the order, or never replied. It accepts an order
+  /// that was already carried out without doing anything, so only the next host
+  /// list shows what became of the worker.
+  void answered(const HostOrder &Order, bool WasAccepted);
   /// The platform refused the order.
-  void refused(const HostOrder &Order, Dispatcher &Workers);
+  void refused(const HostOrder &Order, Dispatcher &JobDispatcher);
 
-  /// Hosts of the wave that need no order any more, as an earlier holder left
-  /// them and as they are now.
+  /// The hosts of a wave that need no further order: adds those that an earlier
+  /// lease holder has finished, and returns all of them.
   void addDone(std::uint64_t Wave, const std::vector<HostName> &Hosts);
   std::vector<HostName> done(std::uint64_t Wave) const;
 
 private:
   struct Wave {
     WaveRequest Request;
-    Instant Since{};
-    std::set<HostName> Done;
-    // Hosts kept free of new work, and since when.
-    std::map<HostName, Instant> Draining;
-    // Hosts whose drain led to nothing, and when the next one may begin.
-    std::map<HostName, Instant> NoDrainBefore;
-    // When the maintenance of hosts that were ordered began.
-    std::map<HostName, Instant> Away;
+    Instant BegunAt{};
+    std::set<HostName> DoneHosts;
+    // Draining hosts, and the start of their drain.
+    std::map<HostName, Instant> DrainingSince;
+    // Hosts whose drain was given up, and when they may drain again.
+    std::map<HostName, Instant> NextDrainAt;
+    // Hosts whose order took effect, and when that was seen.
+    std::map<HostName, Instant> AwaySince;
   };
 
   struct Move {
-    PoolName To;
-    Instant Since{};
+    PoolName TargetPool;
+    Instant OrderedAt{};
   };
 
-  void settle(Dispatcher &Workers);
+  /// Takes the effect of answered orders from the host list.
+  void settleOrders(Dispatcher &JobDispatcher);
   const HostRecord *find(const HostName &Name) const;
-  /// An earlier holder may have ordered the host a moment ago.
-  bool settling(const HostName &Name) const;
-  void decideWave(Wave &Which, Dispatcher &Workers, const jobs::JobBook &Jobs,
-                  std::vector<HostDecision> &Into);
-  void decideMoves(Dispatcher &Workers, const jobs::JobBook &Jobs,
-                   const Deployment &Config, std::vector<HostDecision> &Into);
-  std::vector<PoolHost> poolHosts(const Dispatcher &Workers) const;
-  unsigned away(const Wave &Which) const;
-  unsigned drainsWanted(const Wave &Which, std::size_t Left) const;
-  void give(HostOrder Order, Dispatcher &Workers,
-            std::vector<HostDecision> &Into);
+  /// Whether the earlier lease holder may have ordered the host just before the
+  /// term began.
+  bool isSettling(const HostName &Name) const;
+  void decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
+                  const jobs::JobBook &Jobs,
+                  std::vector<HostDecision> &Decisions);
+  void decideMoves(Dispatcher &JobDispatcher, const jobs::JobBook &Jobs,
+                   const Deployment &Config,
+                   std::vector<HostDecision> &Decisions);
+  /// The hosts that count as capacity of a pool.
+  std::vector<PoolHost> poolHosts(const Dispatcher &JobDispatcher) const;
+  /// Hosts of the wave that are away or may be.
+  unsigned countAway(const Wave &ActiveWave) const;
+  /// Hosts that must drain at once to complete the wave in its time.
+  unsigned desiredDrains(const Wave &ActiveWave, std::size_t HostsLeft) const;
+  /// Adds the order to the decisions and tracks it as open.
+  void issueOrder(HostOrder Order, Dispatcher &JobDispatcher,
+                  std::vector<HostDecision> &Decisions);
 
   const Clock &Time;
   const HostKeeperOptions Settings;
   LogSink &Log;
   PoolPlanner Pools;
-  Instant TermBegan{};
-  bool EarlierKnown = false;
+  Instant TermStart{};
+  bool EarlierOrdersKnown = false;
   std::set<HostName> EarlierOrders;
+  // The time of the last order of this term for a host.
   std::map<HostName, Instant> OrderedAt;
   std::map<HostName, HostRecord> Hosts;
   std::map<std::uint64_t, Wave> Waves;
-  // Orders without an answer.
-  std::map<HostName, HostOrder> Ordered;
-  // Orders whose effect the next list shows, and whether they were taken.
-  std::map<HostName, std::pair<HostOrder, bool>> Unsettled;
-  // Hosts on their way to another pool, and hosts that drain for it.
-  std::map<HostName, Move> Moving;
-  std::set<HostName> DrainingForMove;
+  // Orders without a reply.
+  std::map<HostName, HostOrder> OpenOrders;
+  // Orders whose effect the next host list shows, and whether the platform
+  // accepted them.
+  std::map<HostName, std::pair<HostOrder, bool>> AnsweredOrders;
+  // Hosts that are moving to another pool, and hosts that drain for a move.
+  std::map<HostName, Move> MovingHosts;
+  std::set<HostName> HostsDrainingForMove;
 };
 
-/// Whether all lasting tasks on the worker may be taken away now: of each of
-/// their steps, no more are away then than its caller allows.
-bool mayTakeAway(const WorkerState &Worker, const Dispatcher &Workers,
-                 const jobs::JobBook &Jobs);
+/// Whether all lasting tasks on the worker may be interrupted now without
+/// making more tasks of any step unavailable than its caller allows.
+bool canInterrupt(const WorkerState &Worker, const Dispatcher &JobDispatcher,
+                  const jobs::JobBook &Jobs);
 
-/// A lasting task on the worker that may be stopped now, so that it starts
-/// elsewhere.
-std::optional<TaskRef> taskToMove(const WorkerState &Worker,
-                                  const Dispatcher &Workers,
-                                  const jobs::JobBook &Jobs);
+/// Returns a lasting task on the worker that may be stopped now to be placed on
+/// another worker.
+std::optional<TaskRef> findTaskToMove(const WorkerState &Worker,
+                                      const Dispatcher &JobDispatcher,
+                                      const jobs::JobBook &Jobs);
 
 } // namespace balsamlatch::dispatch
 
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Hosts.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Hosts.h
@@ -1,5 +1,5 @@
 /// \file
-/// The hosts that workers run on, and what the operator wants done with them.
+/// The hosts that workers run on, and the operator's maintenance requests.
 
 #ifndef BALSAMLATCH_DISPATCH_HOSTS_H
 #define BALSAMLATCH_DISPATCH_HOSTS_H
@@ -16,6 +16,7 @@
 
 enum class HostStatus { Up, Moving, Maintenance, Down };
 
+/// A host as the platform lists it.
 struct HostRecord {
   HostName Name;
   PoolName Pool;
@@ -23,19 +24,19 @@
   DataCentreName DataCentre;
   std::vector<std::string> Labels;
   jobs::Resources Capacity;
-  /// The worker that runs on it; empty for none.
+  /// The worker on the host; empty for none.
   std::string WorkerId;
 
   auto operator<=>(const HostRecord &) const = default;
 };
 
-/// Hosts that the operator wants maintained.
+/// An operator's request to maintain a set of hosts.
 struct WaveRequest {
   std::uint64_t Number = 0;
   std::vector<HostName> Hosts;
-  /// Counts from the request.
+  /// Time limit of the wave, counted from the request.
   Duration TimeAllowed{};
-  /// Most hosts of the wave that may be away for it at once.
+  /// Maximum number of hosts of the wave in maintenance at the same time.
   unsigned MaxAway = 1;
 
   auto operator<=>(const WaveRequest &) const = default;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a holder tells workers and what they answer, as values.
+/// The orders that the lease holder sends to workers, and their replies.
 
 #ifndef BALSAMLATCH_DISPATCH_ORDERS_H
 #define BALSAMLATCH_DISPATCH_ORDERS_H
@@ -12,27 +12,29 @@
 
 namespace balsamlatch::dispatch {
 
-/// Orders the holders of a pool: a worker ignores orders with a lower token
-/// than it has seen.
+/// Identifies a term of the lease holder. It grows with each term; a worker
+/// refuses orders with a lower token than the highest it has seen.
 using FencingToken = Number<struct FencingTokenTag>;
 
-/// Milliseconds on a worker's own steady clock.
+/// A time on the worker's own monotonic clock, in milliseconds.
 using WorkerClock = std::chrono::milliseconds;
 
-/// Renews the lease of all runs, and asks what runs and what has ended.
+/// Renews the leases of all runs and asks for a report of running and ended
+/// tasks.
 struct HoldOrder {
   WorkerAddress To;
   FencingToken Token;
-  /// Ends up to this number are recorded; the worker may forget them.
+  /// Ends up to this number are recorded, so the worker may forget them.
   std::uint64_t EndsRecorded = 0;
-  /// Unset before the worker's clock is known.
+  /// New expiry of the leases; unset if they are not renewed.
   std::optional<WorkerClock> LeaseUntil;
-  /// How long the worker may wait for an end before it answers.
+  /// How long the worker may wait for a run to end before it replies.
   Duration Wait{};
 
   auto operator<=>(const HoldOrder &) const = default;
 };
 
+/// Starts a run of a task.
 struct StartOrder {
   WorkerAddress To;
   FencingToken Token;
@@ -41,12 +43,13 @@
   std::string SpecText;
   WorkerClock LeaseUntil{};
   std::string Checkpoint;
-  /// Of the placement policy's permit; empty where there is no policy.
+  /// Ticket of the placement policy's permit; empty if the queue has no policy.
   std::string Ticket;
 
   auto operator<=>(const StartOrder &) const = default;
 };
 
+/// Stops a run of a task.
 struct StopOrder {
   WorkerAddress To;
   FencingToken Token;
@@ -56,7 +59,7 @@
   auto operator<=>(const StopOrder &) const = default;
 };
 
-/// Lets a filler use only a share of what it would.
+/// Throttles a filler to a percentage of its full speed.
 struct PaceOrder {
   WorkerAddress To;
   FencingToken Token;
@@ -69,20 +72,22 @@
 
 using WorkerOrder = std::variant<HoldOrder, StartOrder, StopOrder, PaceOrder>;
 
+/// A run that is in progress on the worker.
 struct RunningTask {
   TaskRef Task;
   std::uint32_t Run = 0;
   std::string Checkpoint;
-  /// How far a task that ends has come; 100 for a lasting task at work.
+  /// Progress of a task that ends by itself; 100 for a lasting task at work.
   unsigned Percent = 0;
-  /// Tail of a serving task in milliseconds, otherwise the CPU in use.
+  /// Tail latency of a serving task in milliseconds; CPU in use otherwise.
   std::int64_t Gauge = 0;
 
   auto operator<=>(const RunningTask &) const = default;
 };
 
+/// A run that has ended on the worker.
 struct EndedTask {
-  /// Numbers the ends of one life of the worker from 1.
+  /// Sequence number of the end within one life of the worker, from 1.
   std::uint64_t Number = 0;
   TaskRef Task;
   std::uint32_t Run = 0;
@@ -92,8 +97,10 @@
   auto operator<=>(const EndedTask &) const = default;
 };
 
+/// A worker's reply to a hold.
 struct HoldReport {
   WorkerClock Clock{};
+  /// Identifies the life of the worker; each restart raises it.
   std::int64_t Born = 0;
   std::vector<RunningTask> Running;
   std::vector<EndedTask> Ended;
@@ -101,26 +108,27 @@
   auto operator<=>(const HoldReport &) const = default;
 };
 
-/// What came of an order.
+/// The outcome of an order. All but Done and Unknown mean that it was not
+/// carried out.
 enum class OrderOutcome {
   Done,
-  /// A higher fencing token is in force there.
+  /// The worker has seen a higher fencing token.
   Fenced,
-  /// Refused for the worker's room, its clock or the run's number; the order
-  /// was not carried out.
+  /// The worker lacks free resources.
   NoRoom,
+  /// The lease had expired by the worker's clock when the order arrived.
   TooLate,
+  /// The run number is not current for the task.
   OldRun,
-  /// The placement policy's permit isn't good; not carried out.
+  /// The placement policy's permit is not valid.
   NoPermit,
-  /// Another worker, or another life of it, is at the address; not carried
-  /// out.
+  /// Another worker, or another life of the worker, has the address.
   OtherWorker,
-  /// The worker can't take orders now; not carried out.
+  /// The worker can't take orders now.
   Unhealthy,
-  /// The order makes no sense to the worker; not carried out.
+  /// The order is malformed for the worker.
   Invalid,
-  /// No answer: it may have been, or may yet be, carried out.
+  /// No reply: the order may have been carried out, or may still be.
   Unknown,
 };
 
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Pacing.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Pacing.h
@@ -1,9 +1,9 @@
 /// \file
-/// How fast fillers may work next to serving tasks. They share more than the
-/// room that is counted, by amounts that nobody states and that change within
-/// seconds; what shows is the tail of the serving tasks' response times. It
-/// falls quickly when fillers are slowed down, and they are let go again step
-/// by step.
+/// Controls how fast fillers run next to serving tasks. Both compete for more
+/// than the resources that are accounted for, by amounts that are not known and
+/// change within seconds. The observable effect is the tail latency of the
+/// serving tasks, so fillers slow down sharply when it rises and speed up again
+/// in small steps.
 
 #ifndef BALSAMLATCH_DISPATCH_PACING_H
 #define BALSAMLATCH_DISPATCH_PACING_H
@@ -15,15 +15,16 @@
 
 namespace balsamlatch::dispatch {
 
-/// Serving tasks' worst tail on a worker, as a part of its objective.
+/// The worst tail latency of the serving tasks on a worker, as a fraction of
+/// the objective of the task.
 struct TailReport {
-  double WorstShare = 0;
-  Instant At{};
+  double WorstTailRatio = 0;
+  Instant MeasuredAt{};
 
   auto operator<=>(const TailReport &) const = default;
 };
 
-/// The pace of all fillers of one worker.
+/// The pace that applies to all fillers of a worker.
 struct FillerPace {
   unsigned Percent = 100;
   Instant ChangedAt{};
@@ -31,8 +32,8 @@
   auto operator<=>(const FillerPace &) const = default;
 };
 
-/// The pace that follows from a report.
-FillerPace nextPace(const FillerPace &Now, const TailReport &Seen);
+/// Returns the pace after a tail report.
+FillerPace nextPace(const FillerPace &CurrentPace, const TailReport &Tails);
 
 } // namespace balsamlatch::dispatch
 
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
@@ -1,8 +1,8 @@
 /// \file
-/// Which workers a queue's placement policy allows for a step. A policy
-/// service decides; its permits go with the starts. Asking takes time for each
-/// worker named, so only as many are asked about as the step may need, and
-/// what was decided is kept.
+/// Permits of a queue's placement policy: which workers may run a step. A
+/// policy service decides, and start orders carry its permits. A decision takes
+/// time for each worker in the query, so a query names only as many workers as
+/// the step may need, and decisions are cached.
 
 #ifndef BALSAMLATCH_DISPATCH_PERMITS_H
 #define BALSAMLATCH_DISPATCH_PERMITS_H
@@ -13,7 +13,7 @@
 
 namespace balsamlatch::dispatch {
 
-/// One step of one occurrence of a job.
+/// Identifies a step of a job occurrence.
 struct StepRef {
   JobId Job;
   unsigned Occurrence = 0;
@@ -26,17 +26,17 @@
   return {Task.Job, Task.Occurrence, Task.Step};
 }
 
-/// Asks which of the workers may run the step.
+/// Asks the policy service which of the workers may run the step.
 struct PermitQuery {
   StepRef Step;
   std::vector<WorkerLife> Workers;
-  /// What the decision takes by the queue's configuration.
+  /// Expected time of the decision by the queue's configuration.
   Duration Expected{};
 
   auto operator<=>(const PermitQuery &) const = default;
 };
 
-/// Allows one worker to run the tasks of a step.
+/// Allows a worker to run the tasks of a step.
 struct Permit {
   std::string WorkerId;
   std::string Ticket;
@@ -51,32 +51,36 @@
   auto operator<=>(const PermitReply &) const = default;
 };
 
-class PermitBook {
+/// Caches the decisions of the placement policies, by step and worker.
+class PermitCache {
 public:
-  void clear() { Steps.clear(); }
-  /// The ticket of a permit that is still good at \p Until; null if there is
-  /// none.
-  const std::string *find(const StepRef &Step, const WorkerLife &Worker,
-                          Instant Until) const;
-  /// Whether asking about the worker may give a permit that isn't there.
-  bool worthAsking(const StepRef &Step, const WorkerLife &Worker,
-                   Instant Until) const;
-  void answered(const PermitQuery &Query, const PermitReply &Reply,
-                Instant AskedAt);
-  /// The worker refused the permit.
-  void drop(const StepRef &Step, const std::string &WorkerId);
-  void forget(const JobId &Job);
+  void clear() { DecisionsByStep.clear(); }
+  /// Returns the ticket of a permit that is valid until after \p Until, or
+  /// null.
+  const std::string *findTicket(const StepRef &Step, const WorkerLife &Worker,
+                                Instant Until) const;
+  /// Whether a query for the worker may give a permit that is not cached or no
+  /// longer valid.
+  bool needsQuery(const StepRef &Step, const WorkerLife &Worker,
+                  Instant Until) const;
+  /// Stores a reply; workers of the query without a permit may not run the
+  /// step.
+  void store(const PermitQuery &Query, const PermitReply &Reply,
+             Instant AskedAt);
+  /// Removes a permit that the worker has refused.
+  void remove(const StepRef &Step, const std::string &WorkerId);
+  void removeJob(const JobId &Job);
 
 private:
   struct Decision {
     std::int64_t Born = 0;
-    // Empty: the worker may not run the step, in any life.
+    // Empty if the worker may not run the step, in any of its lives.
     std::string Ticket;
     Instant ValidUntil{};
   };
 
   using Decisions = std::map<std::string, Decision>;
-  std::map<StepRef, Decisions> Steps;
+  std::map<StepRef, Decisions> DecisionsByStep;
 };
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/include/balsamlatch/Dispatch/PoolPlanner.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/PoolPlanner.h
@@ -1,8 +1,8 @@
 /// \file
-/// How many hosts each pool should have, and which hosts change pools. The
-/// load that it answers: queues ask for much more than their pools hold, by
-/// turns, while the other pools are nearly idle. Hosts follow the work, and
-/// those that nobody needs go to the standby pool.
+/// Computes the desired number of hosts of each pool and the moves between
+/// pools. It is made for load in which one queue at a time demands much more
+/// than its pool can run while the other pools are nearly idle: hosts move to
+/// the pools with demand, and surplus hosts go to the standby pool.
 
 #ifndef BALSAMLATCH_DISPATCH_POOLPLANNER_H
 #define BALSAMLATCH_DISPATCH_POOLPLANNER_H
@@ -14,75 +14,77 @@
 
 namespace balsamlatch::dispatch {
 
-/// What a pool's open work asks for at this moment.
+/// The current demand of a pool's open jobs.
 struct PoolDemand {
-  /// Tasks that run or could run now, those of lasting steps aside.
-  Resources Ending;
-  /// Hosts that run lasting tasks, or will have to.
+  /// Resources of the tasks that run or could run now, except those of lasting
+  /// steps.
+  Resources BatchResources;
+  /// Hosts needed for lasting tasks.
   unsigned LastingHosts = 0;
-  /// Hosts that it takes to place what no usable worker can take.
-  unsigned HostsLacking = 0;
+  /// Total hosts needed to place the tasks that no usable worker can take.
+  unsigned HostsForUnplaced = 0;
 
   auto operator<=>(const PoolDemand &) const = default;
 };
 
-/// A host as the planner sees it.
+/// The planner's view of a host.
 struct PoolHost {
   HostName Name;
   PoolName Pool;
   Resources Capacity;
-  /// Up and not under an order.
-  bool Movable = false;
-  /// Nothing runs there.
-  bool Vacant = false;
-  /// A lasting task runs there.
-  bool Lasting = false;
-  /// Takes no new work, in order to be moved.
-  bool Draining = false;
-  std::int64_t UsedCpuMilli = 0;
+  /// Up and without an open order.
+  bool IsMovable = false;
+  /// Has no runs.
+  bool IsVacant = false;
+  /// Has a run of a lasting task.
+  bool HasLastingTask = false;
+  /// Drains for a move.
+  bool IsDraining = false;
+  std::int64_t ClaimedCpuMilli = 0;
 
   auto operator<=>(const PoolHost &) const = default;
 };
 
 struct PoolPlannerOptions {
-  /// Room kept beyond the demand of the moment, in percent.
+  /// Spare capacity beyond the current demand, in percent.
   unsigned HeadroomPercent = 15;
-  /// How long a pool keeps what it needed. Bridges the time between the steps
-  /// of jobs.
-  Duration Memory = std::chrono::milliseconds(1200);
-  /// How long a host must be unneeded before it goes to standby: a move costs
-  /// about as much as a host does in this time.
-  Duration IdleTime = std::chrono::milliseconds(2000);
-  /// Hosts that a pool keeps even without work, so that new work starts at
-  /// once.
-  unsigned LeastHosts = 2;
+  /// A pool is sized for the peak demand of this window, which bridges the gaps
+  /// between the steps of jobs.
+  Duration DemandWindow = std::chrono::milliseconds(1200);
+  /// How long a pool must have a surplus before hosts go to standby. A move
+  /// costs about as much as running the host for this time.
+  Duration SurplusDelay = std::chrono::milliseconds(2000);
+  /// Minimum size of a pool, so that new work starts at once after idle times.
+  unsigned MinHosts = 2;
 };
 
+/// Moves and drains that are due now.
 struct PoolPlan {
-  struct Step {
+  struct HostMove {
     HostName Host;
-    PoolName To;
+    PoolName TargetPool;
 
-    auto operator<=>(const Step &) const = default;
+    auto operator<=>(const HostMove &) const = default;
   };
 
-  std::vector<Step> Moves;
-  /// Hosts to keep free of new work, so that they can be moved soon.
+  std::vector<HostMove> Moves;
+  /// Hosts that must drain before they can move.
   std::vector<HostName> Drains;
 };
 
+/// Sizes the pools, keeping recent demand between calls of plan().
 class PoolPlanner {
 public:
-  /// What is known of one pool during a plan.
+  /// Actual and desired size of a pool during planning.
   struct Balance {
-    unsigned Have = 0;
-    unsigned Want = 0;
+    unsigned HostCount = 0;
+    unsigned DesiredHosts = 0;
     bool Standby = false;
 
-    bool shorter(const Balance &Other) const {
-      // Compares Have / Want without a division.
-      return std::uint64_t{Have} * Other.Want <
-             std::uint64_t{Other.Have} * Want;
+    bool isMoreUndersizedThan(const Balance &Other) const {
+      // Compares HostCount / DesiredHosts without a division.
+      return std::uint64_t{HostCount} * Other.DesiredHosts <
+             std::uint64_t{Other.HostCount} * DesiredHosts;
     }
   };
 
@@ -96,19 +98,23 @@
                 std::vector<PoolHost> Hosts);
 
 private:
-  struct Memory {
-    // Hosts wanted, and until when the wish counts.
-    std::map<Instant, unsigned> Wanted;
+  struct PoolHistory {
+    // Demand in hosts, by the end of the window in which it counts.
+    std::map<Instant, unsigned> RecentDemand;
     Instant SurplusSince{};
   };
 
-  void giveBack(Instant Now, const PoolName &Standby, Balances &All,
-                const std::vector<PoolHost> &Hosts, PoolPlan &Plan);
-  unsigned wanted(Instant Now, const PoolName &Pool, const PoolDemand &Demand,
-                  const Resources &HostCapacity);
+  /// Moves vacant hosts of pools with a lasting surplus to standby.
+  void releaseSurplus(Instant Now, const PoolName &StandbyPool,
+                      Balances &PoolBalances,
+                      const std::vector<PoolHost> &Hosts, PoolPlan &Plan);
+  /// Peak of the demand within DemandWindow, in hosts.
+  unsigned desiredHosts(Instant Now, const PoolName &Pool,
+                        const PoolDemand &Demand,
+                        const Resources &HostCapacity);
 
   const PoolPlannerOptions Settings;
-  std::map<PoolName, Memory> Known;
+  std::map<PoolName, PoolHistory> HistoryByPool;
 };
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
@@ -1,5 +1,6 @@
 /// \file
-/// What a holder knows of one worker during its term.
+/// The state of a worker and its runs as the lease holder knows it during its
+/// term.
 
 #ifndef BALSAMLATCH_DISPATCH_WORKERSTATE_H
 #define BALSAMLATCH_DISPATCH_WORKERSTATE_H
@@ -12,106 +13,112 @@
 
 namespace balsamlatch::dispatch {
 
-/// Where one run stands, as far as its holder knows.
+/// The phase of a run as far as the lease holder knows.
 enum class RunPhase {
-  /// Chosen; its record is on the way to the journal.
+  /// A worker is chosen; the placement is not recorded yet.
   Proposed,
-  /// The start was sent and not answered yet.
+  /// The start order is sent but has no reply yet.
   Ordered,
   Running,
-  /// The start may or may not have been carried out.
+  /// It is not known whether the start was carried out.
   Uncertain,
-  /// Its end is on the way to the journal.
+  /// The end is known but not recorded yet.
   Ending,
 };
 
+/// A run on a worker as the lease holder tracks it.
 struct RunState {
-  std::uint32_t Run = 0;
+  std::uint32_t Number = 0;
   RunPhase Phase = RunPhase::Proposed;
-  /// Which life of the worker it was placed on.
-  std::int64_t PlacedBorn = 0;
+  /// The Born value of the life of the worker that the run was placed on.
+  std::int64_t WorkerBorn = 0;
   Resources Claim;
   bool Lasting = false;
   bool Filler = false;
-  bool StopWanted = false;
+  bool StopRequested = false;
   bool StopInFlight = false;
-  /// Set once the worker has confirmed a stop: a start that arrives later is
-  /// refused there.
+  /// When the worker confirmed a stop. It refuses a start that arrives after
+  /// that.
   std::optional<Instant> StopConfirmedAt;
-  /// A lower token than the present one ordered it, so a late start of it is
-  /// refused.
-  bool EarlierTerm = false;
-  /// When the start was answered.
+  /// Started under a lower fencing token, so the worker refuses a start that
+  /// arrives late.
+  bool FromEarlierTerm = false;
+  /// When the run was first known to be running.
   Instant StartedAt{};
   unsigned Percent = 0;
   Instant PercentChangedAt{};
   std::int64_t Gauge = 0;
   std::string Checkpoint;
-  /// Of the permit that it was placed by.
+  /// Ticket of the permit for the placement; empty without a policy.
   std::string Ticket;
-  /// Of a serving task; zero for others.
+  /// Tail latency objective of a serving task; zero for other tasks.
   Duration TailObjective{};
-  /// Of a filler, as last confirmed by the worker; unset while unknown.
+  /// Pace of a filler in percent, as last confirmed by the worker; unset while
+  /// unknown.
   std::optional<unsigned> Pace = 100;
   bool PaceInFlight = false;
 };
 
+/// A worker, its runs, and the times of the next orders to it.
 struct WorkerState {
   WorkerRecord Record;
-  /// Stands in the worker list now.
-  bool Listed = false;
-  /// Has answered a hold of this term.
-  bool Contacted = false;
-  /// The last order got no answer.
-  bool Silent = false;
-  /// Excluded from placement for upkeep or a move.
-  bool Cordoned = false;
-  /// An order that ends all its runs is on its way to its host.
-  bool Leaving = false;
+  /// Registered at present.
+  bool IsRegistered = false;
+  /// Has replied to a hold in this term.
+  bool HasReported = false;
+  /// The last hold failed or got no reply.
+  bool IsUnresponsive = false;
+  /// Excluded from placement for maintenance or a move.
+  bool IsCordoned = false;
+  /// An order that ends all of its runs is open for its host.
+  bool HostOrderPending = false;
   bool HoldInFlight = false;
   Instant NextHoldAt{};
   Instant LastReportAt{};
   WorkerClock Clock{};
-  /// Host lists in a row that no host with this worker stood in.
-  unsigned UnhostedLists = 0;
-  /// Local time that Clock was received at.
-  Instant ClockAt{};
-  /// Nothing that was ordered so far runs after this time.
-  Instant LapsedAt{};
-  /// Highest number of an end that was turned into events.
+  /// Consecutive host lists without a host for this worker.
+  unsigned ListsWithoutHost = 0;
+  /// Local time when Clock was received.
+  Instant ClockReceivedAt{};
+  /// The time when all leases granted so far have expired.
+  Instant LeasesExpireAt{};
+  /// Highest sequence number of an end that was processed.
   std::uint64_t EndsSeen = 0;
-  /// EndsSeen when the events on their way to the journal were taken.
+  /// Value of EndsSeen when the events that are being recorded were taken.
   std::uint64_t EndsInBatch = 0;
-  /// Highest number of an end that the journal holds.
+  /// Highest sequence number of an end that is recorded.
   std::uint64_t EndsRecorded = 0;
-  /// No new work before this time.
+  /// The worker gets no new work before this time.
   Instant AvoidUntil{};
-  /// Runs that failed since the last one that was done, and their jobs.
-  unsigned FailuresInRow = 0;
+  /// Failed runs since the last success, where consecutive failures of one job
+  /// count once; and the job of the last failure.
+  unsigned ConsecutiveFailures = 0;
   JobId LastFailedJob;
-  unsigned Suspicions = 0;
-  /// What its fillers should keep to, and when they may be told again.
-  FillerPace Fillers;
+  unsigned AvoidanceDoublings = 0;
+  /// Desired pace of the fillers, and the earliest time of the next pace order.
+  FillerPace TargetPace;
   Instant NextPaceAt{};
   std::map<TaskRef, RunState> Runs;
-  // Invariant: the sum of the claims of Runs that are not Ending.
-  Resources Claimed;
+  // Invariant: the sum of the claims of all Runs that are not in phase Ending.
+  Resources ClaimedResources;
 
   WorkerClock clockAt(Instant Now) const {
-    return Clock + std::chrono::duration_cast<WorkerClock>(Now - ClockAt);
+    return Clock +
+           std::chrono::duration_cast<WorkerClock>(Now - ClockReceivedAt);
   }
-  Resources room() const {
-    Resources Room = Record.Capacity;
-    Room -= Claimed;
-    return Room;
+  Resources freeResources() const {
+    Resources FreeResources = Record.Capacity;
+    FreeResources -= ClaimedResources;
+    return FreeResources;
   }
   bool hasLabel(const std::string &Label) const;
-  /// Whether fillers run next to serving tasks, so that their tails matter.
-  bool shared() const;
-  /// Whether new work may be placed there.
-  bool usable(Instant Now) const {
-    return Listed && Contacted && !Silent && !Cordoned && !Record.Draining &&
-           Now >= AvoidUntil;
+  /// Whether fillers share the worker with serving tasks, so that the tails of
+  /// the serving tasks control the pace of the fillers.
+  bool hasFillersNextToServing() const;
+  /// Whether new work may be placed on the worker.
+  bool isUsable(Instant Now) const {
+    return IsRegistered && HasReported && !IsUnresponsive && !IsCordoned &&
+           !Record.Draining && Now >= AvoidUntil;
   }
 };
 
