--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// The dispatcher among workers that fail in single ways.
+/// Tests of the dispatcher with one kind of fault at a time, with placement
+/// policies, gangs and fillers.
 
 #define BOOST_TEST_MODULE Dispatcher
-#include "World.h"
+#include "Simulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,10 +14,10 @@
 
 namespace {
 
-std::string joined(const std::vector<std::string> &Faults) {
+std::string joinLines(const std::vector<std::string> &Lines) {
   std::string Text;
-  for (const std::string &Each : Faults) {
-    Text += Each + "; ";
+  for (const std::string &Line : Lines) {
+    Text += Line + "; ";
   }
   return Text;
 }
@@ -32,237 +33,241 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(RunsStepsInOrderOnce) {
-  World W(3);
-  W.submit("a", simpleJob(4, 3));
-  W.run(3s);
-  BOOST_TEST(joined(W.faults()) == "");
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(W.started("a") == 12);
+  Simulation Sim(3);
+  Sim.submit("a", simpleJob(4, 3));
+  Sim.run(3s);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(Sim.countStarts("a") == 12);
 }
 
 BOOST_AUTO_TEST_CASE(ManyEndsInOneRecordDontCloseTheJobEarly) {
-  // All but one task end at the same time, so that their ends are recorded
-  // together; the job waits for the last one.
-  World W(2);
-  W.Workers[0].Record.Capacity = {7000, 7000, 0};
-  W.Workers[1].Record.Capacity = {1000, 1000, 0};
-  W.Workers[1].RunTime = 900ms;
-  W.submit("a", simpleJob(8));
-  W.run(600ms);
-  BOOST_TEST(W.job("a").open());
-  W.run(2s);
-  BOOST_TEST(joined(W.faults()) == "");
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-}
-
-BOOST_AUTO_TEST_CASE(WorkOfASilentWorkerRunsElsewhereAfterItsLease) {
-  World W(2);
-  W.submit("a", lastingJob(1));
-  W.run(500ms);
-  const std::string First = W.Past.Runs.front().Worker;
-  FakeWorker &Host = First == "w0" ? W.Workers[0] : W.Workers[1];
-  Host.Down = true; // it runs on, but nobody hears it
-  W.run(7s);
-  BOOST_TEST(W.started("a") == 2);
-  BOOST_TEST(joined(W.faults()) == "");
-}
-
-BOOST_AUTO_TEST_CASE(AnUnansweredStartIsSettledBeforeTheNextRun) {
-  World W(2);
-  bool Once = true;
-  W.LosesAnswer = [&](const WorkerOrder &Order) {
+  // All tasks but one end at the same time, so their ends are recorded in one
+  // batch. The job must stay open until the last task ends.
+  Simulation Sim(2);
+  Sim.Workers[0].Record.Capacity = {7000, 7000, 0};
+  Sim.Workers[1].Record.Capacity = {1000, 1000, 0};
+  Sim.Workers[1].RunDuration = 900ms;
+  Sim.submit("a", simpleJob(8));
+  Sim.run(600ms);
+  BOOST_TEST(Sim.job("a").open());
+  Sim.run(2s);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+}
+
+BOOST_AUTO_TEST_CASE(TasksOfAnUnresponsiveWorkerMoveAfterTheirLease) {
+  Simulation Sim(2);
+  Sim.submit("a", lastingJob(1));
+  Sim.run(500ms);
+  const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
+  FakeWorker &Worker = FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1];
+  Worker.IsDown = true; // its runs continue, but it is unreachable
+  Sim.run(7s);
+  BOOST_TEST(Sim.countStarts("a") == 2);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+}
+
+BOOST_AUTO_TEST_CASE(AStartWithoutReplyIsResolvedBeforeTheNextRun) {
+  Simulation Sim(2);
+  bool IsFirstStart = true;
+  Sim.LosesAnswer = [&](const WorkerOrder &Order) {
     return std::holds_alternative<StartOrder>(Order) &&
-           std::exchange(Once, false);
+           std::exchange(IsFirstStart, false);
   };
-  W.Workers[0].RunTime = W.Workers[1].RunTime = 2s;
-  W.submit("a", simpleJob(1));
-  W.run(8s);
-  BOOST_TEST(joined(W.faults()) == "");
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-}
-
-BOOST_AUTO_TEST_CASE(AStartCarriedOutLateRunsNowhereTwice) {
-  World W(2);
-  unsigned Count = 0;
-  W.LateBy = [&](const WorkerOrder &Order) -> std::optional<Duration> {
-    if (std::holds_alternative<StartOrder>(Order) && Count++ < 3) {
+  Sim.Workers[0].RunDuration = Sim.Workers[1].RunDuration = 2s;
+  Sim.submit("a", simpleJob(1));
+  Sim.run(8s);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+}
+
+BOOST_AUTO_TEST_CASE(ALateStartNeverCausesOverlappingRuns) {
+  Simulation Sim(2);
+  unsigned StartCount = 0;
+  Sim.OrderDelay = [&](const WorkerOrder &Order) -> std::optional<Duration> {
+    if (std::holds_alternative<StartOrder>(Order) && StartCount++ < 3) {
       return 2500ms;
     }
     return std::nullopt;
   };
-  W.submit("a", simpleJob(3));
-  W.run(10s);
-  BOOST_TEST(joined(W.faults()) == "");
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
+  Sim.submit("a", simpleJob(3));
+  Sim.run(10s);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
 }
 
 BOOST_AUTO_TEST_CASE(ARestartedWorkerLosesItsRunsAtOnce) {
-  World W(1);
-  W.submit("a", lastingJob(1));
-  W.run(500ms);
-  W.Workers[0].crash(W.Time.now(), W.Past);
-  W.run(300ms);
-  BOOST_TEST(W.started("a") == 2);
-  BOOST_TEST(joined(W.faults()) == "");
-}
-
-BOOST_AUTO_TEST_CASE(ALaterHolderTakesOverWhatRuns) {
-  World W(2);
-  W.submit("a", lastingJob(2));
-  W.submit("b", simpleJob(3));
-  W.run(200ms);
-  W.changeHolder();
-  W.run(3s);
-  BOOST_TEST(W.started("a") == 2);
-  BOOST_TEST(W.started("b") == 3);
-  BOOST_TEST(joined(W.faults()) == "");
-  BOOST_TEST((W.job("b").Record.State == jobs::JobState::Completed));
+  Simulation Sim(1);
+  Sim.submit("a", lastingJob(1));
+  Sim.run(500ms);
+  Sim.Workers[0].crash(Sim.Time.now(), Sim.Observed);
+  Sim.run(300ms);
+  BOOST_TEST(Sim.countStarts("a") == 2);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+}
+
+BOOST_AUTO_TEST_CASE(ALaterHolderAdoptsRunningTasks) {
+  Simulation Sim(2);
+  Sim.submit("a", lastingJob(2));
+  Sim.submit("b", simpleJob(3));
+  Sim.run(200ms);
+  Sim.startNewTerm();
+  Sim.run(3s);
+  BOOST_TEST(Sim.countStarts("a") == 2);
+  BOOST_TEST(Sim.countStarts("b") == 3);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+  BOOST_TEST((Sim.job("b").Record.State == jobs::JobState::Completed));
 }
 
 BOOST_AUTO_TEST_CASE(ALaterHolderWaitsForWorkersThatItCantReach) {
-  World W(2);
-  W.submit("a", lastingJob(1));
-  W.run(500ms);
-  const std::string First = W.Past.Runs.front().Worker;
-  (First == "w0" ? W.Workers[0] : W.Workers[1]).Down = true;
-  W.changeHolder();
-  W.run(8s);
-  BOOST_TEST(W.started("a") == 1);
-  W.run(4s);
-  BOOST_TEST(W.started("a") == 2);
-  BOOST_TEST(joined(W.faults()) == "");
+  Simulation Sim(2);
+  Sim.submit("a", lastingJob(1));
+  Sim.run(500ms);
+  const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
+  (FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1]).IsDown = true;
+  Sim.startNewTerm();
+  Sim.run(8s);
+  BOOST_TEST(Sim.countStarts("a") == 1);
+  Sim.run(4s);
+  BOOST_TEST(Sim.countStarts("a") == 2);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
 BOOST_AUTO_TEST_CASE(AJobFailsOnceATaskHasFailedAsOftenAsAllowed) {
-  World W(3);
-  for (FakeWorker &Each : W.Workers) {
-    Each.FailsAll = true;
+  Simulation Sim(3);
+  for (FakeWorker &Worker : Sim.Workers) {
+    Worker.FailsAll = true;
   }
-  W.submit("a", simpleJob(1));
-  W.run(10s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Failed));
-  BOOST_TEST(W.started("a") == 3);
-  BOOST_TEST(joined(W.faults()) == "");
+  Sim.submit("a", simpleJob(1));
+  Sim.run(10s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Failed));
+  BOOST_TEST(Sim.countStarts("a") == 3);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
 BOOST_AUTO_TEST_CASE(AFailedTaskGoesToAnotherWorker) {
-  World W(2);
-  W.Workers[0].FailsAll = true;
-  W.submit("a", simpleJob(4));
-  W.run(4s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(joined(W.faults()) == "");
+  Simulation Sim(2);
+  Sim.Workers[0].FailsAll = true;
+  Sim.submit("a", simpleJob(4));
+  Sim.run(4s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
 BOOST_AUTO_TEST_CASE(ACancelledJobStops) {
-  World W(2);
-  W.submit("a", lastingJob(2));
-  W.run(500ms);
-  W.cancel("a");
-  W.run(500ms);
-  for (const RunTrace &Each : W.Past.Runs) {
-    BOOST_TEST((Each.How == jobs::RunEnd::Stopped));
+  Simulation Sim(2);
+  Sim.submit("a", lastingJob(2));
+  Sim.run(500ms);
+  Sim.cancel("a");
+  Sim.run(500ms);
+  for (const RunTrace &Run : Sim.Observed.Runs) {
+    BOOST_TEST((Run.End == jobs::RunEnd::Stopped));
   }
-  W.run(3s);
-  BOOST_TEST(W.started("a") == 2);
+  Sim.run(3s);
+  BOOST_TEST(Sim.countStarts("a") == 2);
 }
 
 BOOST_AUTO_TEST_CASE(AStalledRunIsStoppedAndRunsElsewhere) {
-  World W(2);
-  W.Workers[0].Hangs = W.Workers[1].Hangs = false;
-  W.submit("a", simpleJob(1));
-  W.run(50ms);
-  const std::string First = W.Past.Runs.front().Worker;
-  (First == "w0" ? W.Workers[0] : W.Workers[1]).Hangs = true;
-  W.run(6s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(joined(W.faults()) == "");
+  Simulation Sim(2);
+  Sim.Workers[0].Hangs = Sim.Workers[1].Hangs = false;
+  Sim.submit("a", simpleJob(1));
+  Sim.run(50ms);
+  const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
+  (FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1]).Hangs = true;
+  Sim.run(6s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
 BOOST_AUTO_TEST_CASE(NothingStartsBeforeItsRecord) {
-  World W(2);
-  W.submit("a", simpleJob(2));
-  W.run(20ms);
-  W.JournalAway = true;
-  W.run(2s);
-  const unsigned Before = W.started("a");
-  W.submit("b", simpleJob(2));
-  W.run(1s);
-  BOOST_TEST(W.started("a") == Before);
-  BOOST_TEST(W.started("b") == 0);
-  W.JournalAway = false;
-  W.run(3s);
-  BOOST_TEST((W.job("b").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(joined(W.faults()) == "");
-}
-
-BOOST_AUTO_TEST_CASE(ALaterHolderClosesWhatAnEarlierOneDidNot) {
-  World W(1);
-  for (FakeWorker &Each : W.Workers) {
-    Each.FailsAll = true;
+  Simulation Sim(2);
+  Sim.submit("a", simpleJob(2));
+  Sim.run(20ms);
+  Sim.JournalUnavailable = true;
+  Sim.run(2s);
+  const unsigned StartsBefore = Sim.countStarts("a");
+  Sim.submit("b", simpleJob(2));
+  Sim.run(1s);
+  BOOST_TEST(Sim.countStarts("a") == StartsBefore);
+  BOOST_TEST(Sim.countStarts("b") == 0);
+  Sim.JournalUnavailable = false;
+  Sim.run(3s);
+  BOOST_TEST((Sim.job("b").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+}
+
+BOOST_AUTO_TEST_CASE(ALaterHolderClosesAJobThatAnEarlierOneLeftOpen) {
+  Simulation Sim(1);
+  for (FakeWorker &Worker : Sim.Workers) {
+    Worker.FailsAll = true;
   }
-  // The journal has the last failure but not the close.
+  // The journal contains the last failure but not the close of the job.
   const JobId Job("a");
-  W.submit("a", simpleJob(1));
-  W.run(2s);
-  BOOST_REQUIRE((W.job("a").Record.State == jobs::JobState::Failed));
-  jobs::JobSnapshot Before = W.job("a").Record;
-  Before.State = jobs::JobState::Running;
-  W.Book.apply(Before, 99);
-  W.changeHolder();
-  W.run(2s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Failed));
-  BOOST_TEST(W.started("a") == 3);
-}
-
-BOOST_AUTO_TEST_CASE(OnceAWorkerKnowsTheHolderOnlyItsOwnLeasesCount) {
-  World W(2);
-  W.submit("a", lastingJob(1));
-  W.run(500ms);
-  W.changeHolder();
-  W.run(500ms);
-  const std::string First = W.Past.Runs.front().Worker;
-  (First == "w0" ? W.Workers[0] : W.Workers[1]).Down = true;
-  W.run(6500ms);
-  BOOST_TEST(W.started("a") == 2);
-  BOOST_TEST(joined(W.faults()) == "");
-}
-
-BOOST_AUTO_TEST_CASE(AWorkerThatNoHostRunsHasEnded) {
-  World W(2);
-  W.submit("a", lastingJob(1));
-  W.run(500ms);
-  const std::string First = W.Past.Runs.front().Worker;
-  FakeWorker &Gone = First == "w0" ? W.Workers[0] : W.Workers[1];
-  Gone.crash(W.Time.now(), W.Past);
-  Gone.Record.Life.Born -= 1000; // the registration is still the old one
-  Gone.Down = true;
-  W.changeHolder();
-  W.run(1s);
-  const std::set<std::string> Hosted = {First == "w0" ? "w1" : "w0"};
-  W.Decisions->setHostedWorkers(Hosted);
-  W.run(100ms);
-  BOOST_TEST(W.started("a") == 1);
-  W.Decisions->setHostedWorkers(Hosted);
-  W.run(100ms);
-  BOOST_TEST(W.started("a") == 2);
+  Sim.submit("a", simpleJob(1));
+  Sim.run(2s);
+  BOOST_REQUIRE((Sim.job("a").Record.State == jobs::JobState::Failed));
+  jobs::JobSnapshot ReopenedJob = Sim.job("a").Record;
+  ReopenedJob.State = jobs::JobState::Running;
+  Sim.Book.apply(ReopenedJob, 99);
+  Sim.startNewTerm();
+  Sim.run(2s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Failed));
+  BOOST_TEST(Sim.countStarts("a") == 3);
+}
+
+BOOST_AUTO_TEST_CASE(OnlyOwnLeasesCountOnceAWorkerKnowsTheHolder) {
+  Simulation Sim(2);
+  Sim.submit("a", lastingJob(1));
+  Sim.run(500ms);
+  Sim.startNewTerm();
+  Sim.run(500ms);
+  const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
+  (FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1]).IsDown = true;
+  Sim.run(6500ms);
+  BOOST_TEST(Sim.countStarts("a") == 2);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
+}
+
+BOOST_AUTO_TEST_CASE(AWorkerMissingFromHostListsCountsAsEnded) {
+  Simulation Sim(2);
+  Sim.submit("a", lastingJob(1));
+  Sim.run(500ms);
+  const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
+  FakeWorker &EndedWorker =
+      FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1];
+  EndedWorker.crash(Sim.Time.now(), Sim.Observed);
+  EndedWorker.Record.Life.Born -=
+      1000; // the registration is still from the earlier life
+  EndedWorker.IsDown = true;
+  Sim.startNewTerm();
+  Sim.run(1s);
+  const std::set<std::string> HostedWorkers = {FirstWorker == "w0" ? "w1"
+                                                                   : "w0"};
+  Sim.JobDispatcher->setHostedWorkers(HostedWorkers);
+  Sim.run(100ms);
+  BOOST_TEST(Sim.countStarts("a") == 1);
+  Sim.JobDispatcher->setHostedWorkers(HostedWorkers);
+  Sim.run(100ms);
+  BOOST_TEST(Sim.countStarts("a") == 2);
 }
 
 namespace {
 
-/// A world whose queue has a placement policy that allows odd workers only.
-struct PolicyWorld : World {
-  explicit PolicyWorld(unsigned Count) : World(Count) {
+/// A simulation whose queue has a placement policy that permits only workers
+/// with odd numbers.
+struct PolicySimulation : Simulation {
+  explicit PolicySimulation(unsigned Count) : Simulation(Count) {
     Config->Queues.front().Policy = PlacementPolicy{50ms, 2ms};
-    for (unsigned Number = 0; Number < Count; ++Number) {
-      Workers[Number].Ticket = Number % 2 == 1 ? ticketOf(Number) : "none";
+    for (unsigned Index = 0; Index < Count; ++Index) {
+      Workers[Index].RequiredTicket = Index % 2 == 1 ? ticketOf(Index) : "none";
     }
     Policy = [this, Count](const PermitQuery &Query) {
       PermitReply Reply{{}, 1s};
-      for (const WorkerLife &Each : Query.Workers) {
-        for (unsigned Number = 1; Number < Count; Number += 2) {
-          if (Workers[Number].Record.Life.Id == Each.Id) {
-            Reply.Allowed.push_back({Each.Id, Workers[Number].Ticket});
+      for (const WorkerLife &Worker : Query.Workers) {
+        for (unsigned Index = 1; Index < Count; Index += 2) {
+          if (Workers[Index].Record.Life.Id == Worker.Id) {
+            Reply.Allowed.push_back({Worker.Id, Workers[Index].RequiredTicket});
           }
         }
       }
@@ -270,77 +275,77 @@
     };
   }
 
-  static std::string ticketOf(unsigned Number) {
-    return "t" + std::to_string(Number);
+  static std::string ticketOf(unsigned Index) {
+    return "t" + std::to_string(Index);
   }
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(TasksRunOnlyWhereThePolicyAllowsThem) {
-  PolicyWorld W(6);
-  W.submit("a", simpleJob(4, 2));
-  W.run(4s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(W.started("a") == 8); // no start was refused
-  BOOST_TEST(W.Queries.size() == 2);
-  BOOST_TEST(joined(W.faults()) == "");
+  PolicySimulation Sim(6);
+  Sim.submit("a", simpleJob(4, 2));
+  Sim.run(4s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(Sim.countStarts("a") == 8); // no start was refused
+  BOOST_TEST(Sim.Queries.size() == 2);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
 BOOST_AUTO_TEST_CASE(APermitThatRanOutIsAskedForAgain) {
-  // One worker has room for one task at a time, and each takes as long as a
-  // permit is good.
-  PolicyWorld W(2);
-  W.Workers[1].Record.Capacity = {1000, 1000, 0};
-  W.Workers[1].RunTime = 900ms;
-  W.submit("a", simpleJob(3));
-  W.run(5s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(W.started("a") == 3);
-  BOOST_TEST(W.Queries.size() == 3);
+  // The permitted worker has room for one task at a time, and each task runs
+  // for about as long as a permit is valid.
+  PolicySimulation Sim(2);
+  Sim.Workers[1].Record.Capacity = {1000, 1000, 0};
+  Sim.Workers[1].RunDuration = 900ms;
+  Sim.submit("a", simpleJob(3));
+  Sim.run(5s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(Sim.countStarts("a") == 3);
+  BOOST_TEST(Sim.Queries.size() == 3);
 }
 
 BOOST_AUTO_TEST_CASE(APermitThatTheWorkerRefusesIsAskedForAgain) {
-  PolicyWorld W(2);
-  W.Workers[1].Ticket = "new";
-  const auto Honest = W.Policy;
-  W.Policy = [&](const PermitQuery &Query) {
-    auto Reply = Honest(Query);
-    if (W.Queries.size() == 1) {
+  PolicySimulation Sim(2);
+  Sim.Workers[1].RequiredTicket = "new";
+  const auto CorrectPolicy = Sim.Policy;
+  Sim.Policy = [&](const PermitQuery &Query) {
+    auto Reply = CorrectPolicy(Query);
+    if (Sim.Queries.size() == 1) {
       Reply->Allowed.front().Ticket = "old";
     }
     return Reply;
   };
-  W.submit("a", simpleJob(1));
-  W.run(2s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(W.Queries.size() == 2);
+  Sim.submit("a", simpleJob(1));
+  Sim.run(2s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(Sim.Queries.size() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(QueriesOfSeveralStepsAreOutTogether) {
-  PolicyWorld W(6);
-  W.Config->Queues.front().Policy->DecisionTime = 300ms;
-  W.Decisions->limitQueries(4);
+  PolicySimulation Sim(6);
+  Sim.Config->Queues.front().Policy->DecisionTime = 300ms;
+  Sim.JobDispatcher->limitQueries(4);
   for (const char *Id : {"a", "b", "c", "d"}) {
-    W.submit(Id, simpleJob(1));
+    Sim.submit(Id, simpleJob(1));
   }
-  W.run(1500ms);
+  Sim.run(1500ms);
   for (const char *Id : {"a", "b", "c", "d"}) {
-    BOOST_TEST((W.job(Id).Record.State == jobs::JobState::Completed));
+    BOOST_TEST((Sim.job(Id).Record.State == jobs::JobState::Completed));
   }
 }
 
 BOOST_AUTO_TEST_CASE(AQueryWithoutAnswerIsRepeatedAfterAPause) {
-  PolicyWorld W(2);
-  const auto Honest = W.Policy;
-  W.Policy = [&](const PermitQuery &Query) {
-    return W.Queries.size() < 4 ? std::nullopt : Honest(Query);
+  PolicySimulation Sim(2);
+  const auto CorrectPolicy = Sim.Policy;
+  Sim.Policy = [&](const PermitQuery &Query) {
+    return Sim.Queries.size() < 4 ? std::nullopt : CorrectPolicy(Query);
   };
-  W.submit("a", simpleJob(1));
-  W.run(400ms);
-  BOOST_TEST(W.Queries.size() <= 3);
-  W.run(2s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
+  Sim.submit("a", simpleJob(1));
+  Sim.run(400ms);
+  BOOST_TEST(Sim.Queries.size() <= 3);
+  Sim.run(2s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
 }
 
 namespace {
@@ -351,7 +356,7 @@
   return Spec;
 }
 
-/// A book with one gang of three placed members.
+/// Returns a job book with a gang of three placed members.
 jobs::JobBook bookWithGang() {
   jobs::JobBook Book;
   Book.apply(jobs::JobAccepted{JobId("g"), {}, {}, gangJob(3, 1), {}}, 1);
@@ -364,39 +369,39 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(AGangsEndsInSeveralRecordsDontCloseItsJobEarly) {
-  World W(2);
-  W.Workers[1].RunTime = 405ms;
-  W.submit("a", gangJob(8, 2));
-  W.run(600ms);
-  BOOST_TEST(W.job("a").open());
-  W.run(2s);
-  BOOST_TEST((W.job("a").Record.State == jobs::JobState::Completed));
-  BOOST_TEST(W.started("a") == 16);
-  BOOST_TEST(joined(W.faults()) == "");
+  Simulation Sim(2);
+  Sim.Workers[1].RunDuration = 405ms;
+  Sim.submit("a", gangJob(8, 2));
+  Sim.run(600ms);
+  BOOST_TEST(Sim.job("a").open());
+  Sim.run(2s);
+  BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
+  BOOST_TEST(Sim.countStarts("a") == 16);
+  BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
 BOOST_AUTO_TEST_CASE(AGangIsPlacedWholeOrNotAtAll) {
-  World W(2);
-  W.submit("a", gangJob(9, 1));
-  W.run(1s);
-  BOOST_TEST(W.started("a") == 0);
-  W.Workers[1].Record.Capacity = {5000, 5000, 0};
-  W.run(1s);
-  BOOST_TEST(W.started("a") == 9);
+  Simulation Sim(2);
+  Sim.submit("a", gangJob(9, 1));
+  Sim.run(1s);
+  BOOST_TEST(Sim.countStarts("a") == 0);
+  Sim.Workers[1].Record.Capacity = {5000, 5000, 0};
+  Sim.run(1s);
+  BOOST_TEST(Sim.countStarts("a") == 9);
 }
 
 BOOST_AUTO_TEST_CASE(TheRestOfAGangIsStoppedWhenAMemberEnds) {
-  World W(2);
-  W.Workers[0].RunTime = W.Workers[1].RunTime = 30s;
-  W.submit("a", gangJob(8, 1));
-  W.run(500ms);
-  BOOST_TEST(W.started("a") == 8);
-  W.Workers[1].crash(W.Time.now(), W.Past);
-  W.run(8s);
-  for (const RunTrace &Each : W.Past.Runs) {
-    BOOST_TEST((Each.Run > 1 || Each.Ended != Instant::max()));
+  Simulation Sim(2);
+  Sim.Workers[0].RunDuration = Sim.Workers[1].RunDuration = 30s;
+  Sim.submit("a", gangJob(8, 1));
+  Sim.run(500ms);
+  BOOST_TEST(Sim.countStarts("a") == 8);
+  Sim.Workers[1].crash(Sim.Time.now(), Sim.Observed);
+  Sim.run(8s);
+  for (const RunTrace &Run : Sim.Observed.Runs) {
+    BOOST_TEST((Run.Run > 1 || Run.EndedAt != Instant::max()));
   }
-  BOOST_TEST(W.started("a") == 16); // all members again, together
+  BOOST_TEST(Sim.countStarts("a") == 16); // all members run again, together
 }
 
 BOOST_AUTO_TEST_CASE(AGangsFailedRunCountsOnce) {
@@ -419,57 +424,59 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(WorkThatFitsNowhereAsksForHosts) {
-  // Half of each worker's room is free, and no half is enough.
-  World W(2);
-  for (FakeWorker &Each : W.Workers) {
-    Each.RunTime = 60s;
+BOOST_AUTO_TEST_CASE(WorkThatFitsOnNoWorkerRequiresMoreHosts) {
+  // Each worker has free resources, but not enough for one more task.
+  Simulation Sim(2);
+  for (FakeWorker &Worker : Sim.Workers) {
+    Worker.RunDuration = 60s;
   }
-  jobs::JobSpec Large = simpleJob(2);
-  Large.Steps.front().Need.CpuMilli = 2500;
-  W.submit("a", Large);
-  W.run(200ms);
-  W.submit("b", Large);
-  W.run(300ms);
-  BOOST_TEST(W.Decisions->hostsLacking().empty());
-  W.run(1500ms);
-  BOOST_REQUIRE(W.Decisions->hostsLacking().size() == 1);
-  BOOST_TEST(W.Decisions->hostsLacking().begin()->second == 4);
+  jobs::JobSpec LargeJob = simpleJob(2);
+  LargeJob.Steps.front().Need.CpuMilli = 2500;
+  Sim.submit("a", LargeJob);
+  Sim.run(200ms);
+  Sim.submit("b", LargeJob);
+  Sim.run(300ms);
+  BOOST_TEST(Sim.JobDispatcher->requiredHosts().empty());
+  Sim.run(1500ms);
+  BOOST_REQUIRE(Sim.JobDispatcher->requiredHosts().size() == 1);
+  BOOST_TEST(Sim.JobDispatcher->requiredHosts().begin()->second == 4);
 }
 
 namespace {
 
-/// One worker with a serving task whose tail must stay below 100 ms, and two
-/// fillers that disturb it.
-struct SharedWorld : World {
-  SharedWorld() : World(1) {
-    jobs::JobSpec Serving = lastingJob(1);
-    Serving.Steps.front().TailObjective = 100ms;
-    submit("serving", Serving);
-    jobs::JobSpec Filling = lastingJob(2);
-    Filling.Text = "filler";
-    Filling.Steps.front().MaxPerWorker = 0;
-    Filling.Steps.front().Filler = true;
-    submit("filler", Filling);
-    Workers[0].Tail = [](unsigned Disturbance) -> std::int64_t {
-      return 40 + Disturbance * 2 / 3; // 173 ms with both
+/// One worker with a serving task whose tail latency must stay below 100 ms,
+/// and two fillers that increase it.
+struct FillerSimulation : Simulation {
+  FillerSimulation() : Simulation(1) {
+    jobs::JobSpec ServingJob = lastingJob(1);
+    ServingJob.Steps.front().TailObjective = 100ms;
+    submit("serving", ServingJob);
+    jobs::JobSpec FillerJob = lastingJob(2);
+    FillerJob.Text = "filler";
+    FillerJob.Steps.front().MaxPerWorker = 0;
+    FillerJob.Steps.front().Filler = true;
+    submit("filler", FillerJob);
+    Workers[0].TailLatency = [](unsigned TotalPace) -> std::int64_t {
+      return 40 + TotalPace * 2 / 3; // 173 ms with both fillers at full pace
     };
   }
 
-  /// How long the tail stays over its objective without a break, at most.
+  /// Returns the longest time for which the tail latency stays continuously
+  /// above its objective.
   Duration longestOver(Duration Length) {
-    Duration Longest{};
-    Duration Over{};
-    for (Duration Done{}; Done < Length; Done += 50ms) {
+    Duration MaxTimeOver{};
+    Duration TimeOver{};
+    for (Duration Elapsed{}; Elapsed < Length; Elapsed += 50ms) {
       run(50ms);
-      unsigned Sum = 0;
+      unsigned TotalPace = 0;
       for (const auto &[Task, Pace] : Workers[0].Paces) {
-        Sum += Pace;
+        TotalPace += Pace;
       }
-      Over = Workers[0].Tail(Sum) > 100 ? Over + 50ms : Duration::zero();
-      Longest = std::max(Longest, Over);
+      TimeOver = Workers[0].TailLatency(TotalPace) > 100 ? TimeOver + 50ms
+                                                         : Duration::zero();
+      MaxTimeOver = std::max(MaxTimeOver, TimeOver);
     }
-    return Longest;
+    return MaxTimeOver;
   }
 
   unsigned pace() const {
@@ -479,28 +486,28 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(FillersAreSlowedDownUntilServingTasksMeetTheirObjective) {
-  SharedWorld W;
-  BOOST_TEST((W.longestOver(10s) < 3s));
-  BOOST_TEST(W.Workers[0].Paces.size() == 2);
-  // Without disturbance they work whole again.
-  W.Workers[0].Tail = [](unsigned) -> std::int64_t { return 20; };
-  W.run(10s);
-  BOOST_TEST(W.pace() == 100);
+BOOST_AUTO_TEST_CASE(FillersAreThrottledUntilServingTasksMeetTheirObjective) {
+  FillerSimulation Sim;
+  BOOST_TEST((Sim.longestOver(10s) < 3s));
+  BOOST_TEST(Sim.Workers[0].Paces.size() == 2);
+  // Without interference the fillers return to full pace.
+  Sim.Workers[0].TailLatency = [](unsigned) -> std::int64_t { return 20; };
+  Sim.run(10s);
+  BOOST_TEST(Sim.pace() == 100);
 }
 
 BOOST_AUTO_TEST_CASE(APaceOrderWithoutAnswerIsRepeated) {
-  SharedWorld W;
-  unsigned Lost = 0;
-  W.LosesAnswer = [&](const WorkerOrder &Order) {
-    return std::holds_alternative<PaceOrder>(Order) && ++Lost <= 2;
+  FillerSimulation Sim;
+  unsigned LostCount = 0;
+  Sim.LosesAnswer = [&](const WorkerOrder &Order) {
+    return std::holds_alternative<PaceOrder>(Order) && ++LostCount <= 2;
   };
-  BOOST_TEST((W.longestOver(10s) < 4s));
+  BOOST_TEST((Sim.longestOver(10s) < 4s));
 }
 
 BOOST_AUTO_TEST_CASE(ALaterHolderPacesFillersAnew) {
-  SharedWorld W;
-  W.run(10s);
-  W.changeHolder();
-  BOOST_TEST((W.longestOver(10s) < 3s));
+  FillerSimulation Sim;
+  Sim.run(10s);
+  Sim.startNewTerm();
+  BOOST_TEST((Sim.longestOver(10s) < 3s));
 }
--- a/Tests/Dispatch/HostKeeperTest.cpp
+++ b/Tests/Dispatch/HostKeeperTest.cpp
@@ -1,8 +1,9 @@
 /// \file
-/// Waves and moves: what is ordered when, and what an order's answer means.
+/// Tests of maintenance waves and host moves: which orders are issued when, and
+/// the effect of replies and host lists.
 
 #define BOOST_TEST_MODULE HostKeeper
-#include "World.h"
+#include "Simulation.h"
 
 #include "balsamlatch/Dispatch/HostKeeper.h"
 
@@ -16,8 +17,8 @@
 
 namespace {
 
-const PoolName ThePool("pool");
-const PoolName Spare("spare");
+const PoolName TestPool("pool");
+const PoolName StandbyPool("spare");
 
 jobs::JobSpec lastingJob(unsigned Tasks) {
   jobs::JobSpec Spec = simpleJob(Tasks);
@@ -27,41 +28,43 @@
   return Spec;
 }
 
-/// A world with a host for each worker, and a keeper past its settling.
-struct Fleet {
-  explicit Fleet(unsigned Count, bool EarlierOrdersKnown = true)
-      : W(Count), Keeper(W.Time, HostKeeperOptions(), W.Log) {
+/// A simulation with a host for each worker, and a host keeper at the start of
+/// its term.
+struct FleetFixture {
+  explicit FleetFixture(unsigned Count, bool EarlierOrdersKnown = true)
+      : Sim(Count), Keeper(Sim.Time, HostKeeperOptions(), Sim.Log) {
     Keeper.begin();
     if (EarlierOrdersKnown) {
       Keeper.setEarlierOrders({});
     }
-    for (unsigned Number = 0; Number < Count; ++Number) {
+    for (unsigned Index = 0; Index < Count; ++Index) {
       HostRecord &Host = Hosts.emplace_back();
-      Host.Name = HostName(fmt::format("h{}", Number));
-      Host.Pool = ThePool;
+      Host.Name = HostName(fmt::format("h{}", Index));
+      Host.Pool = TestPool;
       Host.Capacity = {4000, 4000, 0};
-      Host.WorkerId = fmt::format("w{}", Number);
+      Host.WorkerId = fmt::format("w{}", Index);
     }
   }
 
-  void list() { Keeper.setHosts(Hosts, *W.Decisions); }
+  void publishHosts() { Keeper.setHosts(Hosts, *Sim.JobDispatcher); }
 
-  /// All hosts but the first ones stand by, and the keeper knows of them.
-  void standBy(std::size_t Kept) {
-    W.Config->Pools.push_back({Spare, true});
-    for (std::size_t Number = Kept; Number < Hosts.size(); ++Number) {
-      Hosts[Number].Pool = Spare;
-      Hosts[Number].WorkerId.clear();
+  /// Moves all hosts but the first \p Kept to the standby pool and publishes
+  /// the host list.
+  void moveToStandby(std::size_t Kept) {
+    Sim.Config->Pools.push_back({StandbyPool, true});
+    for (std::size_t Index = Kept; Index < Hosts.size(); ++Index) {
+      Hosts[Index].Pool = StandbyPool;
+      Hosts[Index].WorkerId.clear();
     }
-    W.run(4s);
-    list();
+    Sim.run(4s);
+    publishHosts();
   }
 
   std::vector<HostOrder> decide() {
     std::vector<HostOrder> Orders;
-    for (const HostDecision &Each :
-         Keeper.decide(*W.Decisions, W.Book, *W.Config)) {
-      if (const auto *Order = std::get_if<HostOrder>(&Each)) {
+    for (const HostDecision &Decision :
+         Keeper.decide(*Sim.JobDispatcher, Sim.Book, *Sim.Config)) {
+      if (const auto *Order = std::get_if<HostOrder>(&Decision)) {
         Orders.push_back(*Order);
       } else {
         Completed = true;
@@ -70,294 +73,300 @@
     return Orders;
   }
 
-  World W;
+  Simulation Sim;
   HostKeeper Keeper;
   std::vector<HostRecord> Hosts;
   bool Completed = false;
 };
 
-WaveRequest waveOf(const std::vector<HostRecord> &Hosts, unsigned AtOnce) {
+WaveRequest waveOf(const std::vector<HostRecord> &Hosts, unsigned MaxAway) {
   WaveRequest Wave;
   Wave.Number = 1;
   for (const HostRecord &Host : Hosts) {
     Wave.Hosts.push_back(Host.Name);
   }
   Wave.TimeAllowed = 30s;
-  Wave.MaxAway = AtOnce;
+  Wave.MaxAway = MaxAway;
   return Wave;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(NoHostIsOrderedBeforeTheEarlierOrdersAreKnown) {
-  Fleet F(2, false);
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 2));
-  F.W.run(10s);
-  BOOST_TEST(F.decide().empty());
+  FleetFixture Fleet(2, false);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Sim.run(10s);
+  BOOST_TEST(Fleet.decide().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AHostThatAnEarlierHolderOrderedWaits) {
-  Fleet F(2, false);
-  F.Keeper.setEarlierOrders({F.Hosts[0].Name});
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 2));
-  F.W.run(100ms);
-  const std::vector<HostOrder> Orders = F.decide();
+BOOST_AUTO_TEST_CASE(AHostWithARecentOrderOfAnEarlierHolderWaits) {
+  FleetFixture Fleet(2, false);
+  Fleet.Keeper.setEarlierOrders({Fleet.Hosts[0].Name});
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Sim.run(100ms);
+  const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
   BOOST_TEST(Orders.front().Host.Text == "h1");
-  // The next holder must know of both.
-  BOOST_TEST(
-      (F.Keeper.recentOrders() == std::set{F.Hosts[0].Name, F.Hosts[1].Name}));
-  F.W.run(4s);
-  BOOST_TEST(F.decide().size() == 1);
+  // The next lease holder must get both orders.
+  BOOST_TEST((Fleet.Keeper.recentOrders() ==
+              std::set{Fleet.Hosts[0].Name, Fleet.Hosts[1].Name}));
+  Fleet.Sim.run(4s);
+  BOOST_TEST(Fleet.decide().size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(TwoHostsOfAWaveMayBeOrderedAtOnce) {
-  Fleet F(2, false);
-  F.Keeper.setEarlierOrders({F.Hosts[0].Name, F.Hosts[1].Name});
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 2));
-  F.W.run(3s);
-  BOOST_TEST(F.decide().empty());
-  F.W.run(1s);
-  BOOST_TEST(F.decide().size() == 2);
+  FleetFixture Fleet(2, false);
+  Fleet.Keeper.setEarlierOrders({Fleet.Hosts[0].Name, Fleet.Hosts[1].Name});
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Sim.run(3s);
+  BOOST_TEST(Fleet.decide().empty());
+  Fleet.Sim.run(1s);
+  BOOST_TEST(Fleet.decide().size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(AWaveKeepsItsBound) {
-  Fleet F(4);
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 2));
-  F.W.run(4s);
+BOOST_AUTO_TEST_CASE(AWaveNeverExceedsItsLimitOfHostsAway) {
+  FleetFixture Fleet(4);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Sim.run(4s);
   unsigned Orders = 0;
   for (int Round = 0; Round < 10; ++Round) {
-    Orders += static_cast<unsigned>(F.decide().size());
-    F.W.run(100ms);
+    Orders += static_cast<unsigned>(Fleet.decide().size());
+    Fleet.Sim.run(100ms);
   }
   BOOST_TEST(Orders == 2);
 }
 
-BOOST_AUTO_TEST_CASE(AStepLosesNoMoreTasksThanItsCallerAllows) {
-  Fleet F(3);
-  F.W.submit("a", lastingJob(2));
-  F.W.run(4s);
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 3));
-  // The answers are still out: each order's tasks count as away.
-  unsigned Taken = 0;
+BOOST_AUTO_TEST_CASE(NoMoreTasksOfAStepAreInterruptedThanItsCallerAllows) {
+  FleetFixture Fleet(3);
+  Fleet.Sim.submit("a", lastingJob(2));
+  Fleet.Sim.run(4s);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 3));
+  // No order has a reply yet, so the tasks of each count as unavailable.
+  unsigned InterruptedHosts = 0;
   for (int Round = 0; Round < 5; ++Round) {
-    for (const HostOrder &Order : F.decide()) {
-      const auto &Runs = F.W.Decisions->workers().at(Order.WorkerId).Runs;
-      Taken += Runs.empty() ? 0 : 1;
+    for (const HostOrder &Order : Fleet.decide()) {
+      const auto &Runs =
+          Fleet.Sim.JobDispatcher->workers().at(Order.WorkerId).Runs;
+      InterruptedHosts += Runs.empty() ? 0 : 1;
     }
-    F.W.run(100ms);
+    Fleet.Sim.run(100ms);
   }
-  BOOST_TEST(Taken <= 1);
+  BOOST_TEST(InterruptedHosts <= 1);
 }
 
-BOOST_AUTO_TEST_CASE(TasksThatMayHaveBegunTheirWorkAreNotTakenTogether) {
-  // The worker's last report is from before its tasks were at work.
-  Fleet F(2);
-  F.W.Workers[0].Hangs = true;
-  F.W.Workers[1].Hangs = true;
+BOOST_AUTO_TEST_CASE(TasksThatMayBeAtWorkAreNotInterruptedTogether) {
+  // The tasks may have started their work since the worker's last report.
+  FleetFixture Fleet(2);
+  Fleet.Sim.Workers[0].Hangs = true;
+  Fleet.Sim.Workers[1].Hangs = true;
   jobs::JobSpec Spec = lastingJob(2);
   Spec.Steps.front().MaxPerWorker = 0;
-  F.W.submit("a", Spec);
-  F.W.run(4s);
-  F.list();
-  const std::string First = F.W.Past.Runs.front().Worker;
-  BOOST_REQUIRE(F.W.Decisions->workers().at(First).Runs.size() == 2);
-  F.Keeper.addWave(waveOf({F.Hosts[First == "w0" ? 0 : 1]}, 1));
-  BOOST_TEST(F.decide().empty());
+  Fleet.Sim.submit("a", Spec);
+  Fleet.Sim.run(4s);
+  Fleet.publishHosts();
+  const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
+  BOOST_REQUIRE(
+      Fleet.Sim.JobDispatcher->workers().at(FirstWorker).Runs.size() == 2);
+  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
+  BOOST_TEST(Fleet.decide().empty());
 }
 
-BOOST_AUTO_TEST_CASE(NoTaskIsTakenOnTheStrengthOfOldReports) {
-  Fleet F(3);
-  F.W.submit("a", lastingJob(2));
-  F.W.run(4s);
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 3));
-  F.W.Time.advance(3s); // the holder was busy with other things
-  for (const HostOrder &Order : F.decide()) {
-    BOOST_TEST(F.W.Decisions->workers().at(Order.WorkerId).Runs.empty());
+BOOST_AUTO_TEST_CASE(TasksAreNotInterruptedBasedOnOldReports) {
+  FleetFixture Fleet(3);
+  Fleet.Sim.submit("a", lastingJob(2));
+  Fleet.Sim.run(4s);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 3));
+  Fleet.Sim.Time.advance(3s); // no reports are handled in this time
+  for (const HostOrder &Order : Fleet.decide()) {
+    BOOST_TEST(
+        Fleet.Sim.JobDispatcher->workers().at(Order.WorkerId).Runs.empty());
   }
 }
 
-BOOST_AUTO_TEST_CASE(AnOrderThatWasCarriedOutBeforeEndsNothing) {
-  Fleet F(1);
-  F.W.submit("a", lastingJob(1));
-  F.W.run(4s);
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 1));
-  const std::vector<HostOrder> Orders = F.decide();
+BOOST_AUTO_TEST_CASE(ARepeatedOrderEndsNoRuns) {
+  FleetFixture Fleet(1);
+  Fleet.Sim.submit("a", lastingJob(1));
+  Fleet.Sim.run(4s);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 1));
+  const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
-  F.Keeper.answered(Orders.front(), true);
-  F.list(); // the host is up, with the same worker
-  F.W.run(2s);
-  BOOST_TEST(F.W.started("a") == 1);
-  F.decide();
-  BOOST_TEST(F.Completed);
+  Fleet.Keeper.answered(Orders.front(), true);
+  Fleet.publishHosts(); // the host is up with the same worker
+  Fleet.Sim.run(2s);
+  BOOST_TEST(Fleet.Sim.countStarts("a") == 1);
+  Fleet.decide();
+  BOOST_TEST(Fleet.Completed);
 }
 
 BOOST_AUTO_TEST_CASE(RunsOfAMaintainedHostAreLostOnceTheListShowsIt) {
-  Fleet F(2);
-  F.W.submit("a", lastingJob(1));
-  F.W.run(4s);
-  F.list();
-  const std::string First = F.W.Past.Runs.front().Worker;
-  F.Keeper.addWave(waveOf({F.Hosts[First == "w0" ? 0 : 1]}, 1));
-  const std::vector<HostOrder> Orders = F.decide();
+  FleetFixture Fleet(2);
+  Fleet.Sim.submit("a", lastingJob(1));
+  Fleet.Sim.run(4s);
+  Fleet.publishHosts();
+  const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
+  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
+  const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
-  F.Keeper.answered(Orders.front(), true);
-  F.W.run(100ms);
-  BOOST_TEST(F.W.started("a") == 1);
-  F.W.Workers[First == "w0" ? 0 : 1].crash(F.W.Time.now(), F.W.Past);
-  F.W.Workers[First == "w0" ? 0 : 1].Down = true;
-  F.Hosts[First == "w0" ? 0 : 1].Status = HostStatus::Maintenance;
-  F.list();
-  F.W.run(100ms);
-  BOOST_TEST(F.W.started("a") == 2);
+  Fleet.Keeper.answered(Orders.front(), true);
+  Fleet.Sim.run(100ms);
+  BOOST_TEST(Fleet.Sim.countStarts("a") == 1);
+  Fleet.Sim.Workers[FirstWorker == "w0" ? 0 : 1].crash(Fleet.Sim.Time.now(),
+                                                       Fleet.Sim.Observed);
+  Fleet.Sim.Workers[FirstWorker == "w0" ? 0 : 1].IsDown = true;
+  Fleet.Hosts[FirstWorker == "w0" ? 0 : 1].Status = HostStatus::Maintenance;
+  Fleet.publishHosts();
+  Fleet.Sim.run(100ms);
+  BOOST_TEST(Fleet.Sim.countStarts("a") == 2);
 }
 
 BOOST_AUTO_TEST_CASE(ABusyHostIsDrainedBeforeItsMaintenance) {
-  Fleet F(2);
-  for (FakeWorker &Each : F.W.Workers) {
-    Each.RunTime = 1500ms;
+  FleetFixture Fleet(2);
+  for (FakeWorker &Worker : Fleet.Sim.Workers) {
+    Worker.RunDuration = 1500ms;
   }
-  F.W.run(4s);
-  F.W.submit("a", simpleJob(8));
-  F.W.run(200ms);
-  F.list();
-  F.Keeper.addWave(waveOf(F.Hosts, 1));
-  BOOST_TEST(F.decide().empty());
-  F.W.run(1600ms);
-  BOOST_TEST(F.decide().size() == 1);
+  Fleet.Sim.run(4s);
+  Fleet.Sim.submit("a", simpleJob(8));
+  Fleet.Sim.run(200ms);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 1));
+  BOOST_TEST(Fleet.decide().empty());
+  Fleet.Sim.run(1600ms);
+  BOOST_TEST(Fleet.decide().size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(AHostWithMoreOfAStepThanMayBeAwayIsEmptiedTaskByTask) {
-  Fleet F(2);
+BOOST_AUTO_TEST_CASE(AHostWithTooManyTasksOfAStepIsDrainedTaskByTask) {
+  FleetFixture Fleet(2);
   jobs::JobSpec Spec = lastingJob(3);
   Spec.Steps.front().MaxPerWorker = 0;
-  F.W.submit("a", Spec);
-  F.W.run(4s);
-  F.list();
-  const std::string First = F.W.Past.Runs.front().Worker;
-  F.Keeper.addWave(waveOf({F.Hosts[First == "w0" ? 0 : 1]}, 1));
+  Fleet.Sim.submit("a", Spec);
+  Fleet.Sim.run(4s);
+  Fleet.publishHosts();
+  const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
+  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
   unsigned MostAway = 0;
   std::vector<HostOrder> Orders;
   for (int Round = 0; Round < 100 && Orders.empty(); ++Round) {
-    Orders = F.decide();
-    F.W.run(100ms);
+    Orders = Fleet.decide();
+    Fleet.Sim.run(100ms);
     unsigned AtWork = 0;
-    for (const RunTrace &Each : F.W.Past.Runs) {
-      AtWork += Each.Ended == Instant::max() ? 1 : 0;
+    for (const RunTrace &Run : Fleet.Sim.Observed.Runs) {
+      AtWork += Run.EndedAt == Instant::max() ? 1 : 0;
     }
     MostAway = std::max(MostAway, 3 - AtWork);
   }
   BOOST_TEST(Orders.size() == 1);
   BOOST_TEST(MostAway <= 1);
-  BOOST_TEST(F.W.faults().empty());
+  BOOST_TEST(Fleet.Sim.violations().empty());
 }
 
-BOOST_AUTO_TEST_CASE(ADrainThatLeadsToNothingEnds) {
-  // The second task of the step is away, so the first one may not be taken;
-  // hosts that drained on for it would lack where they are needed.
-  Fleet F(2);
-  F.W.submit("a", lastingJob(2));
-  F.W.run(4s);
-  F.W.Workers[0].RunTime = 60s;
-  F.W.Workers[1].crash(F.W.Time.now(), F.W.Past);
-  F.W.Workers[1].Down = true;
-  F.W.submit("b", simpleJob(1));
-  F.W.run(1s);
-  F.list();
-  F.Keeper.addWave(waveOf({F.Hosts[0]}, 1));
-  BOOST_TEST(F.decide().empty());
-  BOOST_TEST(F.W.Decisions->workers().at("w0").Cordoned);
-  F.W.run(8s);
-  BOOST_TEST(F.decide().empty());
-  BOOST_TEST(!F.W.Decisions->workers().at("w0").Cordoned);
+BOOST_AUTO_TEST_CASE(ADrainThatCannotSucceedIsGivenUp) {
+  // The second task of the step is unavailable, so the first must not be
+  // interrupted. Without a limit on the drain, its host would stay cordoned
+  // while its capacity may be needed.
+  FleetFixture Fleet(2);
+  Fleet.Sim.submit("a", lastingJob(2));
+  Fleet.Sim.run(4s);
+  Fleet.Sim.Workers[0].RunDuration = 60s;
+  Fleet.Sim.Workers[1].crash(Fleet.Sim.Time.now(), Fleet.Sim.Observed);
+  Fleet.Sim.Workers[1].IsDown = true;
+  Fleet.Sim.submit("b", simpleJob(1));
+  Fleet.Sim.run(1s);
+  Fleet.publishHosts();
+  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[0]}, 1));
+  BOOST_TEST(Fleet.decide().empty());
+  BOOST_TEST(Fleet.Sim.JobDispatcher->workers().at("w0").IsCordoned);
+  Fleet.Sim.run(8s);
+  BOOST_TEST(Fleet.decide().empty());
+  BOOST_TEST(!Fleet.Sim.JobDispatcher->workers().at("w0").IsCordoned);
 }
 
-BOOST_AUTO_TEST_CASE(HostsFollowTheWork) {
-  // A queue asks for more than its pool holds while another pool is idle.
+BOOST_AUTO_TEST_CASE(HostsMoveToThePoolWithDemand) {
+  // A queue demands more than its pool can run while another pool is idle.
   PoolPlanner Planner{PoolPlannerOptions()};
-  const PoolName Busy("busy");
-  const PoolName Idle("idle");
+  const PoolName BusyPool("busy");
+  const PoolName IdlePool("idle");
   std::vector<PoolHost> Hosts;
   for (int Number = 0; Number < 12; ++Number) {
     PoolHost Host;
     Host.Name = HostName(fmt::format("h{}", Number));
-    Host.Pool = Number < 4 ? Busy : (Number < 10 ? Idle : Spare);
+    Host.Pool = Number < 4 ? BusyPool : (Number < 10 ? IdlePool : StandbyPool);
     Host.Capacity = {4000, 4000, 0};
-    Host.Movable = true;
-    Host.Vacant = Number >= 4;
+    Host.IsMovable = true;
+    Host.IsVacant = Number >= 4;
     Hosts.push_back(Host);
   }
-  const std::vector<Pool> Pools = {{Busy}, {Idle}, {Spare, true}};
-  const PoolPlan Plan =
-      Planner.plan(Instant(1s), Pools, {{Busy, {{30000, 1000, 0}, 0}}}, Hosts);
-  BOOST_TEST(Plan.Moves.size() == 5); // nine wanted, four there
-  unsigned FromSpare = 0;
-  for (const PoolPlan::Step &Step : Plan.Moves) {
-    BOOST_TEST(Step.To.Text == Busy.Text);
-    FromSpare += Step.Host.Text == "h10" || Step.Host.Text == "h11" ? 1 : 0;
+  const std::vector<Pool> Pools = {{BusyPool}, {IdlePool}, {StandbyPool, true}};
+  const PoolPlan Plan = Planner.plan(
+      Instant(1s), Pools, {{BusyPool, {{30000, 1000, 0}, 0}}}, Hosts);
+  BOOST_TEST(Plan.Moves.size() == 5); // nine desired, four present
+  unsigned FromStandby = 0;
+  for (const PoolPlan::HostMove &Move : Plan.Moves) {
+    BOOST_TEST(Move.TargetPool.Text == BusyPool.Text);
+    FromStandby += Move.Host.Text == "h10" || Move.Host.Text == "h11" ? 1 : 0;
   }
-  BOOST_TEST(FromSpare == 1); // hosts that are paid for come first
+  BOOST_TEST(FromStandby == 1); // vacant hosts outside standby come first
 }
 
 BOOST_AUTO_TEST_CASE(HostsAreMovedForTheJobsThatAreAboutToCome) {
-  // A queue's turn begins: the first job fills one host, and more follow
-  // before a host that is moved now can run anything.
-  Fleet F(6);
-  F.standBy(2);
-  BOOST_TEST(F.decide().empty());
-  F.W.submit("a", simpleJob(4));
-  F.W.run(50ms);
-  BOOST_TEST(F.decide().size() == 3);
+  // The load of a queue rises: the first job fills one host, and more jobs
+  // arrive before a host that is moved now can run work.
+  FleetFixture Fleet(6);
+  Fleet.moveToStandby(2);
+  BOOST_TEST(Fleet.decide().empty());
+  Fleet.Sim.submit("a", simpleJob(4));
+  Fleet.Sim.run(50ms);
+  BOOST_TEST(Fleet.decide().size() == 3);
 }
 
 BOOST_AUTO_TEST_CASE(HostsAreMovedForOccurrencesThatAreAboutToBeDue) {
-  Fleet F(6);
-  F.standBy(2);
+  FleetFixture Fleet(6);
+  Fleet.moveToStandby(2);
   jobs::JobSpec Spec = simpleJob(16);
-  Spec.Times = {2, F.W.Time.wallNow() + 5s, 5s};
-  F.W.submit("a", Spec);
-  F.W.run(2s);
-  BOOST_TEST(F.decide().empty());
-  F.W.run(2s);
-  BOOST_TEST(F.decide().size() == 3); // five wanted, two there
+  Spec.Times = {2, Fleet.Sim.Time.wallNow() + 5s, 5s};
+  Fleet.Sim.submit("a", Spec);
+  Fleet.Sim.run(2s);
+  BOOST_TEST(Fleet.decide().empty());
+  Fleet.Sim.run(2s);
+  BOOST_TEST(Fleet.decide().size() == 3); // five desired, two present
 }
 
 BOOST_AUTO_TEST_CASE(UnneededHostsGoToStandbyAfterAWhile) {
   PoolPlanner Planner{PoolPlannerOptions()};
-  const PoolName Idle("idle");
+  const PoolName IdlePool("idle");
   std::vector<PoolHost> Hosts(5);
   for (std::size_t Number = 0; Number < Hosts.size(); ++Number) {
     Hosts[Number].Name = HostName(fmt::format("h{}", Number));
-    Hosts[Number].Pool = Idle;
+    Hosts[Number].Pool = IdlePool;
     Hosts[Number].Capacity = {4000, 4000, 0};
-    Hosts[Number].Movable = Hosts[Number].Vacant = true;
+    Hosts[Number].IsMovable = Hosts[Number].IsVacant = true;
   }
-  const std::vector<Pool> Pools = {{Idle}, {Spare, true}};
+  const std::vector<Pool> Pools = {{IdlePool}, {StandbyPool, true}};
   BOOST_TEST(Planner.plan(Instant(1s), Pools, {}, Hosts).Moves.empty());
   BOOST_TEST(Planner.plan(Instant(4s), Pools, {}, Hosts).Moves.size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(HostsWithLastingWorkStay) {
+BOOST_AUTO_TEST_CASE(HostsWithLastingTasksAreNotMoved) {
   PoolPlanner Planner{PoolPlannerOptions()};
-  const PoolName Busy("busy");
-  const PoolName Other("other");
+  const PoolName BusyPool("busy");
+  const PoolName OtherPool("other");
   std::vector<PoolHost> Hosts(4);
   for (std::size_t Number = 0; Number < Hosts.size(); ++Number) {
     Hosts[Number].Name = HostName(fmt::format("h{}", Number));
-    Hosts[Number].Pool = Number == 0 ? Busy : Other;
+    Hosts[Number].Pool = Number == 0 ? BusyPool : OtherPool;
     Hosts[Number].Capacity = {4000, 4000, 0};
-    Hosts[Number].Movable = true;
-    Hosts[Number].Lasting = Number != 0;
+    Hosts[Number].IsMovable = true;
+    Hosts[Number].HasLastingTask = Number != 0;
   }
-  const PoolPlan Plan = Planner.plan(Instant(1s), {{Busy}, {Other}},
-                                     {{Busy, {{30000, 1000, 0}, 0}}}, Hosts);
+  const PoolPlan Plan =
+      Planner.plan(Instant(1s), {{BusyPool}, {OtherPool}},
+                   {{BusyPool, {{30000, 1000, 0}, 0}}}, Hosts);
   BOOST_TEST(Plan.Moves.empty());
   BOOST_TEST(Plan.Drains.empty());
 }
--- /dev/null
+++ b/Tests/Dispatch/Simulation.cpp
@@ -0,0 +1,426 @@
+/// \file
+/// The fake workers, the journal, and the delivery of orders over time.
+
+#include "Simulation.h"
+
+#include <algorithm>
+#include <fmt/format.h>
+
+namespace balsamlatch::dispatch::test {
+
+using jobs::RunEnd;
+
+namespace {
+
+constexpr Duration TimeStep = std::chrono::milliseconds(5);
+constexpr Duration NetworkDelay = std::chrono::milliseconds(1);
+constexpr Duration ReplyTimeout = std::chrono::milliseconds(400);
+const PoolName TestPool("pool");
+const QueueName TestQueue("queue");
+
+} // namespace
+
+jobs::JobSpec simpleJob(unsigned Tasks, unsigned Steps) {
+  jobs::JobSpec Spec;
+  Spec.Text = "text";
+  for (unsigned Step = 0; Step < Steps; ++Step) {
+    jobs::StepSpec &NewStep = Spec.Steps.emplace_back();
+    NewStep.Count = Tasks;
+    NewStep.Need = {1000, 100, 0};
+    NewStep.Estimate = std::chrono::milliseconds(400);
+    if (Step > 0) {
+      NewStep.After = {Step - 1};
+    }
+  }
+  return Spec;
+}
+
+HoldReport FakeWorker::hold(const HoldOrder &Order, Instant Now,
+                            OrderOutcome &Outcome, History &Observed) {
+  if (Order.Token < HighestToken) {
+    Outcome = OrderOutcome::Fenced;
+    return {};
+  }
+  HighestToken = Order.Token;
+  Outcome = OrderOutcome::Done;
+  std::erase_if(Ends, [&](const EndedTask &EndedRun) {
+    if (EndedRun.Number > Order.EndsRecorded) {
+      return false;
+    }
+    Observed.Runs[TraceByEnd.at(EndedRun.Number)].EndAcknowledged = true;
+    return true;
+  });
+  if (Order.LeaseUntil) {
+    LeaseUntil = std::max(LeaseUntil, *Order.LeaseUntil);
+  }
+  HoldReport Report;
+  Report.Clock = clock(Now);
+  Report.Born = Record.Life.Born;
+  Report.Ended = Ends;
+  for (auto &[Task, Run] : Runs) {
+    if (Order.LeaseUntil) {
+      Run.LeaseUntil = std::max(Run.LeaseUntil, *Order.LeaseUntil);
+    }
+    const auto Percent =
+        Hangs ? 0
+              : (Run.Lasting
+                     ? 100
+                     : static_cast<unsigned>(100 * (Now - Run.StartedAt) /
+                                             (RunDuration + Duration(1))));
+    unsigned TotalPace = 0;
+    for (const auto &[Filler, Pace] : Paces) {
+      TotalPace += Runs.contains(Filler) ? Pace : 0;
+    }
+    const std::int64_t Gauge =
+        TailLatency && !Paces.contains(Task) ? TailLatency(TotalPace) : 0;
+    Report.Running.push_back({Task, Run.Number, "", Percent, Gauge});
+  }
+  return Report;
+}
+
+OrderOutcome FakeWorker::start(const StartOrder &Order, bool Lasting,
+                               Instant Now, History &Observed) {
+  if (Order.Token < HighestToken) {
+    return OrderOutcome::Fenced;
+  }
+  HighestToken = Order.Token;
+  if (Order.LeaseUntil <= clock(Now)) {
+    return OrderOutcome::TooLate;
+  }
+  if (Order.Ticket != RequiredTicket) {
+    return OrderOutcome::NoPermit;
+  }
+  const auto RunIt = Runs.find(Order.Task);
+  if (RunIt != Runs.end()) {
+    return RunIt->second.Number == Order.Run ? OrderOutcome::Done
+                                             : OrderOutcome::OldRun;
+  }
+  const auto FinishedIt = FinishedRuns.find(Order.Task);
+  if (FinishedIt != FinishedRuns.end() && Order.Run <= FinishedIt->second) {
+    return OrderOutcome::OldRun;
+  }
+  LeaseUntil = std::max(LeaseUntil, Order.LeaseUntil);
+  if (Order.SpecText == "filler") {
+    Paces[Order.Task] = 100;
+  }
+  Observed.Runs.push_back({Order.Task, Order.Run, Record.Life.Id, Now});
+  Runs[Order.Task] = {Order.Run, Lasting, Now, Order.LeaseUntil,
+                      Observed.Runs.size() - 1};
+  return OrderOutcome::Done;
+}
+
+OrderOutcome FakeWorker::pace(const PaceOrder &Order) {
+  if (Order.Token < HighestToken) {
+    return OrderOutcome::Fenced;
+  }
+  HighestToken = Order.Token;
+  const auto RunIt = Runs.find(Order.Task);
+  if (RunIt == Runs.end() || RunIt->second.Number != Order.Run) {
+    return OrderOutcome::OldRun;
+  }
+  Paces[Order.Task] = Order.Percent;
+  return OrderOutcome::Done;
+}
+
+OrderOutcome FakeWorker::stop(const StopOrder &Order, Instant Now,
+                              History &Observed) {
+  if (Order.Token < HighestToken) {
+    return OrderOutcome::Fenced;
+  }
+  HighestToken = Order.Token;
+  FinishedRuns[Order.Task] = std::max(FinishedRuns[Order.Task], Order.Run);
+  const auto RunIt = Runs.find(Order.Task);
+  if (RunIt != Runs.end() && RunIt->second.Number == Order.Run) {
+    end(Order.Task, RunIt->second, RunEnd::Stopped, Now, Observed);
+    Runs.erase(RunIt);
+  }
+  return OrderOutcome::Done;
+}
+
+void FakeWorker::end(const TaskRef &Task, const ActiveRun &Run, RunEnd End,
+                     Instant Now, History &Observed) {
+  Observed.Runs[Run.TraceIndex].EndedAt = Now;
+  Observed.Runs[Run.TraceIndex].End = End;
+  FinishedRuns[Task] = std::max(FinishedRuns[Task], Run.Number);
+  Ends.push_back({++EndCount, Task, Run.Number, End, ""});
+  TraceByEnd[EndCount] = Run.TraceIndex;
+}
+
+void FakeWorker::advance(Instant Now, History &Observed) {
+  if (clock(Now) >= LeaseUntil) {
+    for (const EndedTask &EndedRun : Ends) {
+      Observed.Runs[TraceByEnd.at(EndedRun.Number)].LeaseExpiredFirst = true;
+    }
+  }
+  for (auto RunIt = Runs.begin(); RunIt != Runs.end();) {
+    const ActiveRun &Run = RunIt->second;
+    const bool HasEnded =
+        !Run.Lasting && !Hangs && Now - Run.StartedAt >= RunDuration;
+    const bool LeaseExpired = clock(Now) >= Run.LeaseUntil;
+    if (!HasEnded && !LeaseExpired) {
+      ++RunIt;
+      continue;
+    }
+    const RunEnd OwnEnd = FailsAll ? RunEnd::Failed : RunEnd::Done;
+    end(RunIt->first, Run, HasEnded ? OwnEnd : RunEnd::Lost, Now, Observed);
+    RunIt = Runs.erase(RunIt);
+  }
+}
+
+void FakeWorker::crash(Instant Now, History &Observed) {
+  for (const auto &[Task, Run] : Runs) {
+    Observed.Runs[Run.TraceIndex].EndedAt = Now;
+    Observed.Runs[Run.TraceIndex].End = RunEnd::Lost;
+  }
+  Runs.clear();
+  FinishedRuns.clear();
+  Ends.clear();
+  EndCount = 0;
+  HighestToken = {};
+  LeaseUntil = {};
+  TraceByEnd.clear();
+  BootedAt = Now;
+  Record.Life.Born += 1000;
+}
+
+Simulation::Simulation(unsigned WorkerCount, std::uint64_t Seed)
+    : Random(Seed) {
+  Config->Version = 1;
+  Queue TestedQueue;
+  TestedQueue.Name = TestQueue;
+  TestedQueue.Pool = TestPool;
+  TestedQueue.MaxAttempts = 3;
+  TestedQueue.LatencyObjective = std::chrono::milliseconds(600);
+  Config->Queues = {TestedQueue};
+  Config->Pools = {{TestPool, false, true}};
+  for (unsigned Index = 0; Index < WorkerCount; ++Index) {
+    FakeWorker &NewWorker = Workers.emplace_back();
+    NewWorker.Record.Life = {fmt::format("w{}", Index), 1000};
+    NewWorker.Record.Pool = TestPool;
+    NewWorker.Record.Address = {"10.0.0.1", 1, NewWorker.Record.Life.Id};
+    NewWorker.Record.Capacity = {4000, 4000, 0};
+  }
+  startNewTerm();
+}
+
+void Simulation::startNewTerm() {
+  ++Term;
+  RecordInFlight = false;
+  RequestedEvents.clear();
+  JobDispatcher = std::make_unique<Dispatcher>(Time, DispatchOptions(), Log);
+  JobDispatcher->begin(FencingToken(Term), Book);
+  JobDispatcher->configure(Config);
+}
+
+void Simulation::submit(const std::string &Id, jobs::JobSpec Spec) {
+  const JobId Job(Id);
+  Specs[Job] = Spec;
+  RequestedEvents.emplace_back(jobs::JobAccepted{
+      Job, TestQueue, TestPool, std::move(Spec), Time.wallNow()});
+}
+
+void Simulation::cancel(const std::string &Id) {
+  RequestedEvents.emplace_back(
+      jobs::JobClosed{JobId(Id), jobs::JobState::Cancelled, Time.wallNow()});
+}
+
+void Simulation::run(Duration Length) {
+  for (Duration Elapsed{}; Elapsed < Length; Elapsed += TimeStep) {
+    step();
+  }
+}
+
+void Simulation::step() {
+  Time.advance(TimeStep);
+  std::map<std::string, WorkerRecord> Registered;
+  for (FakeWorker &Worker : Workers) {
+    Worker.advance(Time.now(), Observed);
+    Registered[Worker.Record.Life.Id] = Worker.Record;
+  }
+  JobDispatcher->setWorkers(Registered);
+  std::vector<PendingAction> DueActions;
+  for (std::size_t Index = 0; Index < PendingActions.size();) {
+    if (PendingActions[Index].DueAt <= Time.now()) {
+      DueActions.push_back(std::move(PendingActions[Index]));
+      PendingActions.erase(PendingActions.begin() +
+                           static_cast<std::ptrdiff_t>(Index));
+    } else {
+      ++Index;
+    }
+  }
+  for (const PendingAction &Action : DueActions) {
+    Action.Action();
+  }
+  JobDispatcher->tick(!RecordInFlight, true);
+  for (const WorkerOrder &Order : JobDispatcher->takeOrders()) {
+    send(Order);
+  }
+  for (const PermitQuery &Query : JobDispatcher->takeQueries()) {
+    sendQuery(Query);
+  }
+  writeJournal();
+}
+
+void Simulation::sendQuery(const PermitQuery &Query) {
+  Queries.push_back(Query);
+  schedule(Query.Expected + NetworkDelay,
+           [this, Query, SenderTerm = Term, AskedAt = Time.now()] {
+             if (SenderTerm == Term) {
+               JobDispatcher->queryAnswered(Query, AskedAt, Policy(Query));
+             }
+           });
+}
+
+void Simulation::writeJournal() {
+  if (RecordInFlight || JournalUnavailable) {
+    return;
+  }
+  std::vector<jobs::JobEvent> Events = std::exchange(RequestedEvents, {});
+  for (jobs::JobEvent &Event : JobDispatcher->takeEvents()) {
+    Events.push_back(std::move(Event));
+  }
+  if (Events.empty()) {
+    return;
+  }
+  RecordInFlight = true;
+  schedule(JournalDelay, [this, Events, SenderTerm = Term] {
+    if (SenderTerm != Term) {
+      return; // the write is conditional on the term
+    }
+    RecordInFlight = false;
+    ++Sequence;
+    for (const jobs::JobEvent &Event : Events) {
+      Book.apply(Event, Sequence);
+      const jobs::Job *Job = Book.find(jobs::jobOf(Event));
+      if (std::holds_alternative<jobs::JobClosed>(Event) && Job != nullptr) {
+        auto &ClosedAt = Job->Record.State == jobs::JobState::Completed
+                             ? Observed.CompletedAt
+                             : Observed.CancelledAt;
+        ClosedAt.emplace(Job->id(), Time.now());
+      }
+    }
+    JobDispatcher->recorded(Events);
+  });
+}
+
+FakeWorker *Simulation::find(const std::string &Id) {
+  const auto WorkerIt = std::find_if(
+      Workers.begin(), Workers.end(),
+      [&](const FakeWorker &Worker) { return Worker.Record.Life.Id == Id; });
+  return WorkerIt == Workers.end() ? nullptr : &*WorkerIt;
+}
+
+void Simulation::schedule(Duration Delay, std::function<void()> Action) {
+  PendingActions.push_back({Time.now() + Delay, std::move(Action)});
+}
+
+bool Simulation::isLasting(const TaskRef &Task) const {
+  return Specs.at(Task.Job).Steps[Task.Step].Lasting;
+}
+
+void Simulation::send(const WorkerOrder &Order) {
+  const bool ReplyLost = LosesAnswer && LosesAnswer(Order);
+  const std::optional<Duration> ExtraDelay =
+      OrderDelay ? OrderDelay(Order) : std::optional<Duration>();
+  const Duration Delay = ExtraDelay.value_or(NetworkDelay);
+  const std::string &WorkerId = std::visit(
+      [](const auto &TypedOrder) -> const std::string & {
+        return TypedOrder.To.WorkerId;
+      },
+      Order);
+  const std::int64_t IntendedBorn = find(WorkerId)->Record.Life.Born;
+  schedule(Delay, [this, Order, SenderTerm = Term, IntendedBorn, ReplyLost,
+                   ExtraDelay] {
+    deliver(Order, SenderTerm, IntendedBorn, !ReplyLost && !ExtraDelay);
+  });
+  if (!ReplyLost && !ExtraDelay) {
+    return;
+  }
+  // The sender gives up waiting for a reply.
+  schedule(ReplyTimeout, [this, Order, SenderTerm = Term] {
+    if (SenderTerm != Term) {
+      return;
+    }
+    if (const auto *Hold = std::get_if<HoldOrder>(&Order)) {
+      JobDispatcher->holdAnswered(Hold->To.WorkerId, Time.now() - ReplyTimeout,
+                                  OrderOutcome::Unknown, {});
+    } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
+      JobDispatcher->startAnswered(*Start, OrderOutcome::Unknown);
+    } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
+      JobDispatcher->stopAnswered(*Stop, OrderOutcome::Unknown);
+    } else {
+      JobDispatcher->paceAnswered(std::get<PaceOrder>(Order),
+                                  OrderOutcome::Unknown);
+    }
+  });
+}
+
+void Simulation::deliver(const WorkerOrder &Order, std::uint64_t SenderTerm,
+                         std::int64_t IntendedBorn, bool SendsReply) {
+  // A later life of the worker refuses orders for an earlier one.
+  const auto IsReachable = [&](const FakeWorker &Worker,
+                               OrderOutcome &Outcome) {
+    Outcome = Worker.Record.Life.Born == IntendedBorn
+                  ? OrderOutcome::Unknown
+                  : OrderOutcome::OtherWorker;
+    return !Worker.IsDown && Worker.Record.Life.Born == IntendedBorn;
+  };
+  const bool ReplyArrives = SendsReply && SenderTerm == Term;
+  const Instant SentAt = Time.now() - NetworkDelay;
+  if (const auto *Hold = std::get_if<HoldOrder>(&Order)) {
+    FakeWorker &Worker = *find(Hold->To.WorkerId);
+    OrderOutcome Outcome = OrderOutcome::Unknown;
+    HoldReport Report;
+    if (IsReachable(Worker, Outcome)) {
+      Report = Worker.hold(*Hold, Time.now(), Outcome, Observed);
+    }
+    if (ReplyArrives) {
+      JobDispatcher->holdAnswered(Hold->To.WorkerId, SentAt, Outcome, Report);
+    }
+  } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
+    FakeWorker &Worker = *find(Start->To.WorkerId);
+    OrderOutcome Outcome = OrderOutcome::Unknown;
+    if (IsReachable(Worker, Outcome)) {
+      Outcome =
+          Worker.start(*Start, isLasting(Start->Task), Time.now(), Observed);
+    }
+    if (ReplyArrives) {
+      JobDispatcher->startAnswered(*Start, Outcome);
+    }
+  } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
+    FakeWorker &Worker = *find(Stop->To.WorkerId);
+    OrderOutcome Outcome = OrderOutcome::Unknown;
+    if (IsReachable(Worker, Outcome)) {
+      Outcome = Worker.stop(*Stop, Time.now(), Observed);
+    }
+    if (ReplyArrives) {
+      JobDispatcher->stopAnswered(*Stop, Outcome);
+    }
+  } else {
+    const auto &Pace = std::get<PaceOrder>(Order);
+    FakeWorker &Worker = *find(Pace.To.WorkerId);
+    OrderOutcome Outcome = OrderOutcome::Unknown;
+    if (IsReachable(Worker, Outcome)) {
+      Outcome = Worker.pace(Pace);
+    }
+    if (ReplyArrives) {
+      JobDispatcher->paceAnswered(Pace, Outcome);
+    }
+  }
+}
+
+const jobs::Job &Simulation::job(const std::string &Id) const {
+  return *Book.find(JobId(Id));
+}
+
+unsigned Simulation::countStarts(const std::string &Id) const {
+  return static_cast<unsigned>(std::count_if(
+      Observed.Runs.begin(), Observed.Runs.end(),
+      [&](const RunTrace &Run) { return Run.Task.Job.Text == Id; }));
+}
+
+std::vector<std::string> Simulation::violations() const {
+  return checkHistory(Observed, Specs, Config->Queues.front().MaxAttempts);
+}
+
+} // namespace balsamlatch::dispatch::test
--- /dev/null
+++ b/Tests/Dispatch/Simulation.h
@@ -0,0 +1,168 @@
+/// \file
+/// A deterministic simulation of workers, a journal and time around a
+/// dispatcher, with fault injection. It records all runs so that their history
+/// can be checked against the guarantees of the dispatcher.
+
+#ifndef BALSAMLATCH_TESTS_DISPATCH_SIMULATION_H
+#define BALSAMLATCH_TESTS_DISPATCH_SIMULATION_H
+
+#include "balsamlatch/Dispatch/Dispatcher.h"
+
+#include <functional>
+#include <memory>
+#include <random>
+
+namespace balsamlatch::dispatch::test {
+
+/// A run as the worker executed it.
+struct RunTrace {
+  TaskRef Task;
+  std::uint32_t Run = 0;
+  std::string Worker;
+  Instant StartedAt{};
+  Instant EndedAt = Instant::max();
+  jobs::RunEnd End = jobs::RunEnd::Lost;
+  /// The worker was told that the end is recorded.
+  bool EndAcknowledged = false;
+  /// The leases of the worker expired before the end was acknowledged, so the
+  /// lease holder may not have heard of the end in time.
+  bool LeaseExpiredFirst = false;
+};
+
+/// All runs in the order of their starts, and the results shown to callers.
+struct History {
+  std::vector<RunTrace> Runs;
+  std::map<JobId, Instant> CompletedAt;
+  std::map<JobId, Instant> CancelledAt;
+};
+
+/// Returns the violations of the guarantees of the dispatcher: runs of a task
+/// don't overlap, run numbers grow, no task runs after it has completed or has
+/// used all attempts, a step starts after its predecessors have completed, all
+/// tasks of a job shown as completed have completed, and no run starts long
+/// after its job was cancelled.
+std::vector<std::string>
+checkHistory(const History &Observed,
+             const std::map<JobId, jobs::JobSpec> &Specs, unsigned MaxAttempts);
+
+/// A worker that behaves as the platform specifies.
+class FakeWorker {
+public:
+  WorkerRecord Record;
+  bool IsDown = false;
+  /// All runs end as failed.
+  bool FailsAll = false;
+  /// Runs make no progress.
+  bool Hangs = false;
+  Duration RunDuration = std::chrono::milliseconds(400);
+  /// Start orders must carry this ticket; empty for none.
+  std::string RequiredTicket;
+
+  HoldReport hold(const HoldOrder &Order, Instant Now, OrderOutcome &Outcome,
+                  History &Observed);
+  OrderOutcome start(const StartOrder &Order, bool Lasting, Instant Now,
+                     History &Observed);
+  OrderOutcome stop(const StopOrder &Order, Instant Now, History &Observed);
+  OrderOutcome pace(const PaceOrder &Order);
+  /// Tail latency of the serving tasks in milliseconds as a function of the sum
+  /// of the paces of all fillers; unset if fillers have no effect.
+  std::function<std::int64_t(unsigned)> TailLatency;
+  /// Paces of the runs whose SpecText is "filler".
+  std::map<TaskRef, unsigned> Paces;
+  void advance(Instant Now, History &Observed);
+  /// Loses all runs and state, and starts a new life of the worker.
+  void crash(Instant Now, History &Observed);
+
+private:
+  /// A run in progress.
+  struct ActiveRun {
+    std::uint32_t Number = 0;
+    bool Lasting = false;
+    Instant StartedAt{};
+    WorkerClock LeaseUntil{};
+    std::size_t TraceIndex = 0;
+  };
+
+  WorkerClock clock(Instant Now) const {
+    return std::chrono::duration_cast<WorkerClock>(Now - BootedAt);
+  }
+  void end(const TaskRef &Task, const ActiveRun &Run, jobs::RunEnd End,
+           Instant Now, History &Observed);
+
+  Instant BootedAt{};
+  FencingToken HighestToken;
+  /// Latest expiry of any lease so far.
+  WorkerClock LeaseUntil{};
+  // Index of the trace in the history, by the number of the end.
+  std::map<std::uint64_t, std::size_t> TraceByEnd;
+  std::uint64_t EndCount = 0;
+  std::map<TaskRef, ActiveRun> Runs;
+  std::map<TaskRef, std::uint32_t> FinishedRuns;
+  std::vector<EndedTask> Ends;
+};
+
+/// Runs a dispatcher against fake workers and a simulated journal.
+class Simulation {
+public:
+  explicit Simulation(unsigned WorkerCount, std::uint64_t Seed = 1);
+
+  void submit(const std::string &Id, jobs::JobSpec Spec);
+  void cancel(const std::string &Id);
+  /// Advances time in steps of 5 ms.
+  void run(Duration Time);
+  /// Starts the term of a new lease holder with the jobs in the journal.
+  void startNewTerm();
+
+  const jobs::Job &job(const std::string &Id) const;
+  std::vector<std::string> violations() const;
+  unsigned countStarts(const std::string &Id) const;
+
+  ManualClock Time;
+  NullLog Log;
+  History Observed;
+  std::vector<FakeWorker> Workers;
+  jobs::JobBook Book;
+  std::unique_ptr<Dispatcher> JobDispatcher;
+  std::shared_ptr<Deployment> Config = std::make_shared<Deployment>();
+  /// Time to write events to the journal.
+  Duration JournalDelay = std::chrono::milliseconds(5);
+  bool JournalUnavailable = false;
+  /// Faults of the network: whether the reply to an order is lost, and the
+  /// delay after which an order is delivered while its sender gets no reply.
+  std::function<bool(const WorkerOrder &)> LosesAnswer;
+  std::function<std::optional<Duration>(const WorkerOrder &)> OrderDelay;
+  std::mt19937_64 Random;
+  /// Replies to permit queries; a result without a value means no reply.
+  std::function<std::optional<PermitReply>(const PermitQuery &)> Policy;
+  std::vector<PermitQuery> Queries;
+
+private:
+  struct PendingAction {
+    Instant DueAt{};
+    std::function<void()> Action;
+  };
+
+  void step();
+  void writeJournal();
+  void sendQuery(const PermitQuery &Query);
+  void send(const WorkerOrder &Order);
+  void deliver(const WorkerOrder &Order, std::uint64_t SenderTerm,
+               std::int64_t IntendedBorn, bool SendsReply);
+  FakeWorker *find(const std::string &Id);
+  void schedule(Duration Delay, std::function<void()> Action);
+  bool isLasting(const TaskRef &Task) const;
+
+  std::map<JobId, jobs::JobSpec> Specs;
+  std::vector<jobs::JobEvent> RequestedEvents;
+  std::vector<PendingAction> PendingActions;
+  std::uint64_t Term = 0;
+  std::uint64_t Sequence = 0;
+  bool RecordInFlight = false;
+};
+
+/// Returns a job whose steps run one after another, with \p Tasks tasks each.
+jobs::JobSpec simpleJob(unsigned Tasks, unsigned Steps = 1);
+
+} // namespace balsamlatch::dispatch::test
+
+#endif // BALSAMLATCH_TESTS_DISPATCH_SIMULATION_H
