--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -4,8 +4,8 @@
 
 #include "balsamlatch/Fleet/Controller.h"
 
-#include "Enrolment.h"
-#include "HostSteps.h"
+#include "HostReconciler.h"
+#include "HostRegistration.h"
 #include "LeaseHolder.h"
 #include "LedgerWriter.h"
 #include "MovePlanner.h"
--- a/Source/Fleet/Facts.cpp
+++ b/Source/Fleet/FleetObservations.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Bookkeeping of what the controller has observed.
 
-#include "Facts.h"
+#include "FleetObservations.h"
 
 #include <algorithm>
 
--- a/Source/Fleet/Facts.h
+++ b/Source/Fleet/FleetObservations.h
@@ -2,8 +2,8 @@
 /// What this controller has observed and can learn anew: workers' reports, the
 /// entries' ledger versions, the platform's listing. None of it is a promise.
 
-#ifndef BALSAMLATCH_FLEET_FACTS_H
-#define BALSAMLATCH_FLEET_FACTS_H
+#ifndef BALSAMLATCH_FLEET_FLEETOBSERVATIONS_H
+#define BALSAMLATCH_FLEET_FLEETOBSERVATIONS_H
 
 #include "balsamlatch/Fleet/Controller.h"
 
@@ -81,4 +81,4 @@
 
 } // namespace balsamlatch::fleet
 
-#endif // BALSAMLATCH_FLEET_FACTS_H
+#endif // BALSAMLATCH_FLEET_FLEETOBSERVATIONS_H
--- a/Source/Fleet/HostSteps.cpp
+++ b/Source/Fleet/HostReconciler.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// The steps of the operations in hand.
 
-#include "HostSteps.h"
+#include "HostReconciler.h"
 
 #include "Operations.h"
 
--- a/Source/Fleet/HostSteps.h
+++ b/Source/Fleet/HostReconciler.h
@@ -2,12 +2,12 @@
 /// Carries each operation in hand one step further: gives the platform's
 /// orders, waits for the confirmations, and drafts the next state.
 
-#ifndef BALSAMLATCH_FLEET_HOSTSTEPS_H
-#define BALSAMLATCH_FLEET_HOSTSTEPS_H
+#ifndef BALSAMLATCH_FLEET_HOSTRECONCILER_H
+#define BALSAMLATCH_FLEET_HOSTRECONCILER_H
 
 #include "Draft.h"
-#include "Facts.h"
-#include "OrderBook.h"
+#include "FleetObservations.h"
+#include "OrderTracker.h"
 #include "balsamlatch/Fleet/Budget.h"
 
 #include <functional>
@@ -76,4 +76,4 @@
 
 } // namespace balsamlatch::fleet
 
-#endif // BALSAMLATCH_FLEET_HOSTSTEPS_H
+#endif // BALSAMLATCH_FLEET_HOSTRECONCILER_H
--- a/Source/Fleet/Enrolment.cpp
+++ b/Source/Fleet/HostRegistration.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Hosts that enter and leave the ledger.
 
-#include "Enrolment.h"
+#include "HostRegistration.h"
 
 #include <set>
 
--- a/Source/Fleet/Enrolment.h
+++ b/Source/Fleet/HostRegistration.h
@@ -2,11 +2,11 @@
 /// Keeps the ledger's hosts in step with the platform's listing: the first
 /// ledger, hosts that are new, hosts that are gone.
 
-#ifndef BALSAMLATCH_FLEET_ENROLMENT_H
-#define BALSAMLATCH_FLEET_ENROLMENT_H
+#ifndef BALSAMLATCH_FLEET_HOSTREGISTRATION_H
+#define BALSAMLATCH_FLEET_HOSTREGISTRATION_H
 
 #include "Draft.h"
-#include "Facts.h"
+#include "FleetObservations.h"
 
 namespace balsamlatch::fleet {
 
@@ -24,4 +24,4 @@
 
 } // namespace balsamlatch::fleet
 
-#endif // BALSAMLATCH_FLEET_ENROLMENT_H
+#endif // BALSAMLATCH_FLEET_HOSTREGISTRATION_H
--- a/Source/Fleet/OrderBook.cpp
+++ b/Source/Fleet/OrderTracker.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Repeating of the platform's orders until they are done.
 
-#include "OrderBook.h"
+#include "OrderTracker.h"
 
 #include <algorithm>
 
--- a/Source/Fleet/OrderBook.h
+++ b/Source/Fleet/OrderTracker.h
@@ -3,8 +3,8 @@
 /// which are settled, and when one is due again. An order is repeated under
 /// the same operation identifier until the platform says that it is done.
 
-#ifndef BALSAMLATCH_FLEET_ORDERBOOK_H
-#define BALSAMLATCH_FLEET_ORDERBOOK_H
+#ifndef BALSAMLATCH_FLEET_ORDERTRACKER_H
+#define BALSAMLATCH_FLEET_ORDERTRACKER_H
 
 #include "balsamlatch/Fleet/Controller.h"
 
@@ -54,4 +54,4 @@
 
 } // namespace balsamlatch::fleet
 
-#endif // BALSAMLATCH_FLEET_ORDERBOOK_H
+#endif // BALSAMLATCH_FLEET_ORDERTRACKER_H
--- a/Source/Fleet/Recovery.h
+++ b/Source/Fleet/Recovery.h
@@ -5,7 +5,7 @@
 #define BALSAMLATCH_FLEET_RECOVERY_H
 
 #include "Draft.h"
-#include "Facts.h"
+#include "FleetObservations.h"
 #include "balsamlatch/Fleet/Budget.h"
 
 #include <string>
