--- a/Source/Fleet/Audit.cpp
+++ b/Source/Fleet/Audit.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The history checker: each version against the one before it.
+/// The history checker: compares each ledger version with the previous one.
 
 #include "balsamlatch/Fleet/Audit.h"
 
@@ -14,182 +14,200 @@
 
 namespace {
 
+/// Checks one version after the other and collects the violations.
 class Auditor {
 public:
-  explicit Auditor(const RuleSet &InForce) : Rules(InForce) {}
+  explicit Auditor(const RuleSet &ActiveRules) : Rules(ActiveRules) {}
 
-  void first(const LedgerVersion &Begin);
-  void step(const LedgerVersion &From, const LedgerVersion &To);
-  std::vector<Violation> take() { return std::move(Found); }
+  void checkFirst(const LedgerVersion &First);
+  void checkNext(const LedgerVersion &OldVersion,
+                 const LedgerVersion &NewVersion);
+  std::vector<Violation> takeViolations() { return std::move(Violations); }
 
 private:
-  void checkHost(const HostName &Host, const HostRecord &Old,
-                 const HostRecord &New);
-  void checkVersions(const HostName &Host, const HostRecord &Old,
-                     const HostRecord &New);
-  void checkPool(const HostName &Host, const HostRecord &Old,
-                 const HostRecord &New);
-  void checkBudgets(const HostName &Host, const HostRecord &New,
+  void checkHost(const HostName &Host, const HostRecord &OldRecord,
+                 const HostRecord &NewRecord);
+  void checkVersions(const HostName &Host, const HostRecord &OldRecord,
+                     const HostRecord &NewRecord);
+  void checkPool(const HostName &Host, const HostRecord &OldRecord,
+                 const HostRecord &NewRecord);
+  void checkBudgets(const HostName &Host, const HostRecord &NewRecord,
                     const AwayCounts &Counts);
-  void checkOperation(const HostName &Host, const HostRecord &Old,
-                      const HostRecord &New);
-  void checkEntering(const HostName &Host, const HostRecord &New);
-  bool replacementEnded(const HostName &Lost) const;
-  void report(AuditRule Broken, const HostName &Host, std::string Text) {
-    Found.push_back({Next->Version, Broken, Host, std::move(Text)});
+  void checkOperation(const HostName &Host, const HostRecord &OldRecord,
+                      const HostRecord &NewRecord);
+  void checkNewHost(const HostName &Host, const HostRecord &NewRecord);
+  bool replacementEnded(const HostName &LostHost) const;
+  void report(HistoryInvariant Invariant, const HostName &Host,
+              std::string Text) {
+    Violations.push_back({Current->Version, Invariant, Host, std::move(Text)});
   }
 
   const RuleSet &Rules;
-  const LedgerVersion *Last = nullptr;
-  const LedgerVersion *Next = nullptr;
-  // Invariant: identifiers of operations that are over.
-  std::set<std::string> Ended;
-  std::vector<Violation> Found;
+  const LedgerVersion *Previous = nullptr;
+  const LedgerVersion *Current = nullptr;
+  // Identifiers of operations that have ended.
+  std::set<std::string> EndedOperations;
+  std::vector<Violation> Violations;
 };
 
-bool beginsAway(const HostRecord &Old, const HostRecord &New) {
-  return Old.accepting() && New.away() && New.State != HostState::Failed;
+bool startsPlannedAbsence(const HostRecord &OldRecord,
+                          const HostRecord &NewRecord) {
+  return OldRecord.accepting() && NewRecord.away() &&
+         NewRecord.State != HostState::Failed;
 }
 
-void Auditor::first(const LedgerVersion &Begin) {
-  Next = &Begin;
-  for (const auto &[Host, Record] : Begin.Value.Hosts) {
-    if (Record.StateVersion > Begin.Version) {
-      report(AuditRule::Versions, Host, "state of a later version");
+void Auditor::checkFirst(const LedgerVersion &First) {
+  Current = &First;
+  for (const auto &[Host, Record] : First.Value.Hosts) {
+    if (Record.StateVersion > First.Version) {
+      report(HistoryInvariant::MonotonicVersions, Host,
+             "state of a later version");
     }
   }
 }
 
-void Auditor::step(const LedgerVersion &From, const LedgerVersion &To) {
-  Last = &From;
-  Next = &To;
-  if (To.Version <= From.Version) {
-    report(AuditRule::Versions, {},
-           fmt::format("version {} after {}", To.Version, From.Version));
-  }
-  const AwayCounts Counts(To.Value);
-  for (const auto &[Host, New] : To.Value.Hosts) {
-    const auto Old = From.Value.Hosts.find(Host);
-    if (Old == From.Value.Hosts.end()) {
-      checkEntering(Host, New);
+void Auditor::checkNext(const LedgerVersion &OldVersion,
+                        const LedgerVersion &NewVersion) {
+  Previous = &OldVersion;
+  Current = &NewVersion;
+  if (NewVersion.Version <= OldVersion.Version) {
+    report(HistoryInvariant::MonotonicVersions, {},
+           fmt::format("version {} after {}", NewVersion.Version,
+                       OldVersion.Version));
+  }
+  const AwayCounts Counts(NewVersion.Value);
+  for (const auto &[Host, NewRecord] : NewVersion.Value.Hosts) {
+    const auto OldRecord = OldVersion.Value.Hosts.find(Host);
+    if (OldRecord == OldVersion.Value.Hosts.end()) {
+      checkNewHost(Host, NewRecord);
       continue;
     }
-    checkHost(Host, Old->second, New);
-    if (beginsAway(Old->second, New)) {
-      checkBudgets(Host, New, Counts);
+    checkHost(Host, OldRecord->second, NewRecord);
+    if (startsPlannedAbsence(OldRecord->second, NewRecord)) {
+      checkBudgets(Host, NewRecord, Counts);
     }
   }
-  for (const auto &[Host, Old] : From.Value.Hosts) {
-    if (!To.Value.Hosts.contains(Host)) {
-      if (Old.State != HostState::Failed) {
-        report(AuditRule::Resurrection, Host, "left without having failed");
+  for (const auto &[Host, OldRecord] : OldVersion.Value.Hosts) {
+    if (!NewVersion.Value.Hosts.contains(Host)) {
+      if (OldRecord.State != HostState::Failed) {
+        report(HistoryInvariant::RecordLifetime, Host,
+               "left without having failed");
       }
-      Ended.insert(Old.InHand.Id);
+      EndedOperations.insert(OldRecord.InHand.Id);
     }
   }
 }
 
-void Auditor::checkHost(const HostName &Host, const HostRecord &Old,
-                        const HostRecord &New) {
-  if (Old.State != New.State && !legalTransition(Old.State, New.State)) {
-    report(
-        AuditRule::Transitions, Host,
-        fmt::format("{} after {}", stateCode(New.State), stateCode(Old.State)));
-  }
-  checkVersions(Host, Old, New);
-  checkPool(Host, Old, New);
-  checkOperation(Host, Old, New);
+void Auditor::checkHost(const HostName &Host, const HostRecord &OldRecord,
+                        const HostRecord &NewRecord) {
+  if (OldRecord.State != NewRecord.State &&
+      !legalTransition(OldRecord.State, NewRecord.State)) {
+    report(HistoryInvariant::LegalTransitions, Host,
+           fmt::format("{} after {}", stateCode(NewRecord.State),
+                       stateCode(OldRecord.State)));
+  }
+  checkVersions(Host, OldRecord, NewRecord);
+  checkPool(Host, OldRecord, NewRecord);
+  checkOperation(Host, OldRecord, NewRecord);
 }
 
-void Auditor::checkVersions(const HostName &Host, const HostRecord &Old,
-                            const HostRecord &New) {
-  const bool Fresh =
-      New.StateVersion > Last->Version && New.StateVersion <= Next->Version;
-  const bool Kept = New.StateVersion == Old.StateVersion;
-  if (Old.State == New.State ? !Kept : !Fresh) {
-    report(AuditRule::Versions, Host,
-           fmt::format("state version {} after {}", New.StateVersion,
-                       Old.StateVersion));
+void Auditor::checkVersions(const HostName &Host, const HostRecord &OldRecord,
+                            const HostRecord &NewRecord) {
+  const bool IsCurrentVersion = NewRecord.StateVersion > Previous->Version &&
+                                NewRecord.StateVersion <= Current->Version;
+  const bool IsUnchanged = NewRecord.StateVersion == OldRecord.StateVersion;
+  if (OldRecord.State == NewRecord.State ? !IsUnchanged : !IsCurrentVersion) {
+    report(HistoryInvariant::MonotonicVersions, Host,
+           fmt::format("state version {} after {}", NewRecord.StateVersion,
+                       OldRecord.StateVersion));
   }
 }
 
-bool Auditor::replacementEnded(const HostName &Lost) const {
-  return std::any_of(Next->Value.Hosts.begin(), Next->Value.Hosts.end(),
+bool Auditor::replacementEnded(const HostName &LostHost) const {
+  return std::any_of(Current->Value.Hosts.begin(), Current->Value.Hosts.end(),
                      [&](const auto &Item) {
-                       const auto Old = Last->Value.Hosts.find(Item.first);
-                       return Item.second.InHand.Replaces == Lost &&
-                              Old != Last->Value.Hosts.end() &&
-                              Old->second.away() && Item.second.accepting();
+                       const auto OldRecord =
+                           Previous->Value.Hosts.find(Item.first);
+                       return Item.second.InHand.Replaces == LostHost &&
+                              OldRecord != Previous->Value.Hosts.end() &&
+                              OldRecord->second.away() &&
+                              Item.second.accepting();
                      });
 }
 
-void Auditor::checkPool(const HostName &Host, const HostRecord &Old,
-                        const HostRecord &New) {
-  if (Old.Pool == New.Pool) {
+void Auditor::checkPool(const HostName &Host, const HostRecord &OldRecord,
+                        const HostRecord &NewRecord) {
+  if (OldRecord.Pool == NewRecord.Pool) {
     return;
   }
-  const bool Moved = Old.away() && New.State == HostState::OnProbation &&
-                     Old.InHand.Kind == OperationKind::Move &&
-                     Old.InHand.Target == New.Pool;
-  const bool Replaced = Old.State == HostState::Failed &&
-                        New.State == HostState::Failed &&
-                        replacementEnded(Host);
-  if (!Moved && !Replaced) {
-    report(AuditRule::OnePool, Host,
-           fmt::format("from {} to {} without a move", Old.Pool.Text,
-                       New.Pool.Text));
+  const bool IsMove = OldRecord.away() &&
+                      NewRecord.State == HostState::OnProbation &&
+                      OldRecord.InHand.Kind == OperationKind::Move &&
+                      OldRecord.InHand.Target == NewRecord.Pool;
+  const bool IsReplacement = OldRecord.State == HostState::Failed &&
+                             NewRecord.State == HostState::Failed &&
+                             replacementEnded(Host);
+  if (!IsMove && !IsReplacement) {
+    report(HistoryInvariant::SinglePool, Host,
+           fmt::format("from {} to {} without a move", OldRecord.Pool.Text,
+                       NewRecord.Pool.Text));
   }
 }
 
-void Auditor::checkBudgets(const HostName &Host, const HostRecord &New,
+void Auditor::checkBudgets(const HostName &Host, const HostRecord &NewRecord,
                            const AwayCounts &Counts) {
-  const auto Check = [&](const std::string &Group, const AwayCount &Count,
-                         const AwayBudget &Budget) {
+  const auto CheckBudget = [&](const std::string &Group, const AwayCount &Count,
+                               const AwayBudget &Budget) {
     const std::uint32_t Allowed = Budget.allowed(Count.Members);
     if (Count.Away > Allowed) {
-      report(AuditRule::Budgets, Host,
+      report(HistoryInvariant::DisruptionBudgets, Host,
              fmt::format("{} has {} of {} away, allowed {}", Group, Count.Away,
                          Count.Members, Allowed));
     }
   };
-  if (const PoolRule *Rule = Rules.pool(New.Pool)) {
-    Check("pool " + New.Pool.Text, Counts.pool(New.Pool), Rule->Away);
+  if (const PoolRule *Rule = Rules.pool(NewRecord.Pool)) {
+    CheckBudget("pool " + NewRecord.Pool.Text, Counts.pool(NewRecord.Pool),
+                Rule->Away);
   }
   for (const DomainRule &Rule : Rules.Domains) {
     if (Rule.Kind == DomainKind::Rack) {
-      Check("rack " + New.Rack.Text, Counts.rack(New.Rack), Rule.Away);
+      CheckBudget("rack " + NewRecord.Rack.Text, Counts.rack(NewRecord.Rack),
+                  Rule.Away);
     } else {
-      Check("data centre " + New.DataCentre.Text,
-            Counts.dataCentre(New.DataCentre), Rule.Away);
+      CheckBudget("data centre " + NewRecord.DataCentre.Text,
+                  Counts.dataCentre(NewRecord.DataCentre), Rule.Away);
     }
   }
 }
 
-void Auditor::checkOperation(const HostName &Host, const HostRecord &Old,
-                             const HostRecord &New) {
-  if (Old.InHand.Id == New.InHand.Id) {
+void Auditor::checkOperation(const HostName &Host, const HostRecord &OldRecord,
+                             const HostRecord &NewRecord) {
+  if (OldRecord.InHand.Id == NewRecord.InHand.Id) {
     return;
   }
-  if (!Old.InHand.Id.empty()) {
-    Ended.insert(Old.InHand.Id);
+  if (!OldRecord.InHand.Id.empty()) {
+    EndedOperations.insert(OldRecord.InHand.Id);
   }
-  if (!New.InHand.Id.empty() && Ended.contains(New.InHand.Id)) {
-    report(AuditRule::Resurrection, Host,
-           "operation " + New.InHand.Id + " came back");
+  if (!NewRecord.InHand.Id.empty() &&
+      EndedOperations.contains(NewRecord.InHand.Id)) {
+    report(HistoryInvariant::RecordLifetime, Host,
+           "operation " + NewRecord.InHand.Id + " came back");
   }
-  if (beginsAway(Old, New) && !Last->Value.HaltedBy.empty() &&
-      !Next->Value.HaltedBy.empty()) {
-    report(AuditRule::Halt, Host, "operation begun during a halt");
+  if (startsPlannedAbsence(OldRecord, NewRecord) &&
+      !Previous->Value.HaltedBy.empty() && !Current->Value.HaltedBy.empty()) {
+    report(HistoryInvariant::FleetHalt, Host, "operation begun during a halt");
   }
 }
 
-void Auditor::checkEntering(const HostName &Host, const HostRecord &New) {
-  if (New.State != HostState::OnProbation) {
-    report(AuditRule::Resurrection, Host,
-           fmt::format("entered {}", stateCode(New.State)));
+void Auditor::checkNewHost(const HostName &Host, const HostRecord &NewRecord) {
+  if (NewRecord.State != HostState::OnProbation) {
+    report(HistoryInvariant::RecordLifetime, Host,
+           fmt::format("entered {}", stateCode(NewRecord.State)));
   }
-  if (New.StateVersion <= Last->Version || New.StateVersion > Next->Version) {
-    report(AuditRule::Versions, Host, "entered with another version's state");
+  if (NewRecord.StateVersion <= Previous->Version ||
+      NewRecord.StateVersion > Current->Version) {
+    report(HistoryInvariant::MonotonicVersions, Host,
+           "entered with another version's state");
   }
 }
 
@@ -197,15 +215,15 @@
 
 std::vector<Violation> auditHistory(const std::vector<LedgerVersion> &History,
                                     const RuleSet &Rules) {
-  Auditor Check(Rules);
+  Auditor HistoryAuditor(Rules);
   for (std::size_t I = 0; I < History.size(); ++I) {
     if (I == 0) {
-      Check.first(History[I]);
+      HistoryAuditor.checkFirst(History[I]);
     } else {
-      Check.step(History[I - 1], History[I]);
+      HistoryAuditor.checkNext(History[I - 1], History[I]);
     }
   }
-  return Check.take();
+  return HistoryAuditor.takeViolations();
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// The controller: takes events, keeps the lease and the ledger's view, and
-/// lets the planners draft the next ledger.
+/// The fleet controller's event loop: maintains the controller lease and the
+/// latest ledger, runs the planners on a draft of the next ledger, and writes
+/// the draft with a compare-and-swap.
 
 #include "balsamlatch/Fleet/Controller.h"
 
@@ -21,19 +22,20 @@
 
 namespace {
 
-/// How long the ledger's view may go without news before it is read.
-constexpr Duration RefreshAfter = std::chrono::seconds(5);
-/// How often the hosts of an operation are asked for a report, and the most
-/// often that all others are.
-constexpr Duration BusyAskPeriod = std::chrono::seconds(1);
-constexpr Duration IdleAskPeriod = std::chrono::seconds(5);
-/// Keeps the rate of reports bounded in a large fleet.
-constexpr Duration IdleAskPeriodPerHost = std::chrono::milliseconds(80);
+/// The ledger is read from the store if no version was received for this long.
+constexpr Duration LedgerRefreshPeriod = std::chrono::seconds(5);
+/// Report period of hosts with an operation or a failure, and the shortest
+/// report period of all other hosts.
+constexpr Duration ActiveReportPeriod = std::chrono::seconds(1);
+constexpr Duration IdleReportPeriod = std::chrono::seconds(5);
+/// Lengthens the period of idle hosts with their number, so that a large fleet
+/// causes a bounded rate of reports.
+constexpr Duration IdleReportPeriodPerHost = std::chrono::milliseconds(80);
 
-/// Entries that try for the lease at each of its periods.
-constexpr std::ptrdiff_t LeaseCandidates = 3;
+/// Number of entries that request the lease at each renewal period.
+constexpr std::ptrdiff_t MaxLeaseCandidates = 3;
 
-std::string incarnation(const ControllerOptions &Options) {
+std::string makeControllerId(const ControllerOptions &Options) {
   std::mt19937_64 Random(Options.Seed);
   return fmt::format("{}-{:x}", Options.Self.Text, Random());
 }
@@ -47,305 +49,320 @@
 class Controller::Impl {
 public:
   explicit Impl(const ControllerOptions &Options)
-      : Entry(Options.Self), Self(incarnation(Options)),
-        Key(ledgerKey(Options.Region)),
-        Lease(fmt::format("fleet/{}/controller", Options.Region), Self),
-        Writer(Key, Self), Operator(Self) {}
-
-  std::vector<FleetAction> handle(const FleetEvent &Happened, Instant Time,
-                                  WallTime WallNow) {
-    Now = Time;
-    Wall = std::chrono::floor<std::chrono::seconds>(WallNow);
-    Out.clear();
-    std::visit([this](const auto &Event) { on(Event); }, Happened);
-    return std::move(Out);
+      : OwnEntry(Options.Self), ControllerId(makeControllerId(Options)),
+        LedgerStoreKey(ledgerKey(Options.Region)),
+        Lease(fmt::format("fleet/{}/controller", Options.Region), ControllerId),
+        Writer(LedgerStoreKey, ControllerId), OperatorQueue(ControllerId) {}
+
+  std::vector<FleetAction> handle(const FleetEvent &Event, Instant MonotonicNow,
+                                  WallTime WallClockNow) {
+    Now = MonotonicNow;
+    Wall = std::chrono::floor<std::chrono::seconds>(WallClockNow);
+    Actions.clear();
+    std::visit([this](const auto &Alternative) { on(Alternative); }, Event);
+    return std::move(Actions);
   }
 
-  const Ledger &ledger() const { return Known; }
-  std::uint64_t version() const { return KnownVersion; }
-  const HostWaits &waits() const { return Waits; }
-  const HostsNeeded &needed() const { return Needed; }
+  const Ledger &ledger() const { return CurrentLedger; }
+  std::uint64_t version() const { return CurrentVersion; }
+  const HostBlockers &blockers() const { return Blockers; }
+  const RequiredHostCounts &requiredHosts() const { return RequiredHosts; }
   bool leads() const { return Lease.holds(Now); }
 
 private:
-  void on(const LedgerSeen &Seen) { adopt(Seen.Version, Seen.Text); }
-  void on(const StoreReplied &Replied);
-  void on(const OrderReplied &Replied) { Orders.replied(Replied, Now); }
-  void on(const ListingSeen &Seen) { Observed.take(Seen); }
-  void on(const WorkerSeen &Seen) { Observed.take(Seen, Now); }
-  void on(const EntriesSeen &Seen);
-  void on(const RulesSeen &Seen) { Rules = Seen.Rules; }
-  void on(const DemandSeen &Seen) {
-    Demand.take(Seen, Now);
-    Needed = Demand.warm(Now) ? Demand.hostsNeeded(Observed.slotsPerHost())
-                              : HostsNeeded();
+  void on(const LedgerSeen &Event) { receiveLedger(Event.Version, Event.Text); }
+  void on(const StoreReplied &Event);
+  void on(const OrderReplied &Event) { HostOrders.recordReply(Event, Now); }
+  void on(const ListingSeen &Event) { Observations.record(Event); }
+  void on(const WorkerSeen &Event) { Observations.record(Event, Now); }
+  void on(const EntriesSeen &Event);
+  void on(const RulesSeen &Event) { Rules = Event.Rules; }
+  void on(const DemandSeen &Event) {
+    Demand.take(Event, Now);
+    RequiredHosts = Demand.warmedUp(Now)
+                        ? Demand.requiredHosts(Observations.slotsPerHost())
+                        : RequiredHostCounts();
   }
-  void on(const OperatorAsked &Asked) {
-    Operator.take(Asked, Now);
-    decide();
+  void on(const OperatorAsked &Event) {
+    OperatorQueue.enqueue(Event, Now);
+    planChanges();
   }
   void on(const FleetTick &);
 
   Ticket newTicket() { return Ticket(++LastTicket); }
-  void submit(StoreRequest Request, Ticket Of) {
-    Out.emplace_back(SubmitToStore{Of, std::move(Request)});
+  void submit(StoreRequest Request, Ticket StoreTicket) {
+    Actions.emplace_back(SubmitToStore{StoreTicket, std::move(Request)});
   }
 
-  void adopt(std::uint64_t Version, std::string_view Text);
-  void learn(std::uint64_t Version, Ledger Value);
-  void swapEnded(const StoreReply &Reply);
-  void readEnded(const StoreReply &Reply);
-  void settleDraft(bool Written);
-  void read();
-  void decide();
-  void plan(Draft &Next);
-  void write(Draft Next);
-  void askWorkers();
-  void logWait(const HostName &Host, const Hindrance &Why);
-
-  const EntryName Entry;
-  const std::string Self;
-  const std::string Key;
-  // Whether this entry stands for the lease at each period.
-  bool Candidate = true;
+  void receiveLedger(std::uint64_t Version, std::string_view Text);
+  void updateLedger(std::uint64_t Version, Ledger NewLedger);
+  void handleSwapReply(const StoreReply &Reply);
+  void handleReadReply(const StoreReply &Reply);
+  void completeDraft(bool IsWritten);
+  void requestRead();
+  void planChanges();
+  void draftChanges(Draft &NextLedger);
+  void submitDraft(Draft NextLedger);
+  void requestReports();
+  void updateBlocker(const HostName &Host, const Blocker &NewBlocker);
+
+  const EntryName OwnEntry;
+  const std::string ControllerId;
+  const std::string LedgerStoreKey;
+  // Whether this entry requests the lease at each renewal period.
+  bool IsLeaseCandidate = true;
   LeaseHolder Lease;
   LedgerWriter Writer;
-  OperatorOrders Operator;
-  OrderBook Orders;
-  Facts Observed;
+  OperatorOrders OperatorQueue;
+  OrderTracker HostOrders;
+  FleetObservations Observations;
   RuleSetPtr Rules;
   DemandTracker Demand;
-  HostsNeeded Needed;
-  MovePlanner Moves;
+  RequiredHostCounts RequiredHosts;
+  MovePlanner PoolMovePlanner;
 
-  Ledger Known;
-  // Invariant: never falls; 0 with Heard set: the store has no ledger.
-  std::uint64_t KnownVersion = 0;
-  bool Heard = false;
-  Instant HeardAt{};
+  Ledger CurrentLedger;
+  // Invariant: never decreases. 0 with LedgerObserved set means that the store
+  // has no ledger.
+  std::uint64_t CurrentVersion = 0;
+  bool LedgerObserved = false;
+  Instant LedgerObservedAt{};
 
   std::uint64_t LastTicket = 0;
   Ticket LeaseTicket;
   Ticket WriterTicket;
-  // Invariant: the draft of the write in flight or not settled yet.
-  std::optional<Draft> Pending;
-  // Invariant: only hosts that wait.
-  HostWaits Waits;
+  // Set while the draft's write is in flight or its outcome is unknown.
+  std::optional<Draft> PendingDraft;
+  // Only hosts whose operation is blocked; the empty name stands for recovery.
+  HostBlockers Blockers;
 
-  // Valid during one call of handle.
+  // Set for the duration of one handle() call.
   Instant Now{};
   WallTime Wall{};
-  std::vector<FleetAction> Out;
+  std::vector<FleetAction> Actions;
 };
 
-void Controller::Impl::on(const StoreReplied &Replied) {
-  if (Replied.Of == LeaseTicket) {
+void Controller::Impl::on(const StoreReplied &Event) {
+  if (Event.Of == LeaseTicket) {
     LeaseTicket = Ticket();
-    Lease.replied(Replied.Reply);
+    Lease.handleReply(Event.Reply);
     return;
   }
-  if (Replied.Of != WriterTicket) {
+  if (Event.Of != WriterTicket) {
     return;
   }
   WriterTicket = Ticket();
-  if (Writer.swapping()) {
-    swapEnded(Replied.Reply);
+  if (Writer.swapInFlight()) {
+    handleSwapReply(Event.Reply);
   } else {
-    readEnded(Replied.Reply);
+    handleReadReply(Event.Reply);
   }
-  decide();
+  planChanges();
 }
 
-/// The first few live entries by name stand for the lease; an entry that isn't
-/// listed yet does too.
-void Controller::Impl::on(const EntriesSeen &Seen) {
-  Observed.take(Seen, Now);
-  const auto Before = std::count_if(
-      Seen.Live.begin(), Seen.Live.end(),
-      [this](const EntriesSeen::View &View) { return View.Entry < Entry; });
-  const bool Listed = std::any_of(
-      Seen.Live.begin(), Seen.Live.end(),
-      [this](const EntriesSeen::View &View) { return View.Entry == Entry; });
-  Candidate = !Listed || Before < LeaseCandidates;
+/// The first MaxLeaseCandidates live entries by name request the lease. An
+/// entry that isn't in the list yet requests it too.
+void Controller::Impl::on(const EntriesSeen &Event) {
+  Observations.record(Event, Now);
+  const auto EarlierEntries = std::count_if(
+      Event.Live.begin(), Event.Live.end(),
+      [this](const EntriesSeen::View &View) { return View.Entry < OwnEntry; });
+  const bool IsListed = std::any_of(
+      Event.Live.begin(), Event.Live.end(),
+      [this](const EntriesSeen::View &View) { return View.Entry == OwnEntry; });
+  IsLeaseCandidate = !IsListed || EarlierEntries < MaxLeaseCandidates;
 }
 
 void Controller::Impl::on(const FleetTick &) {
-  if (const std::optional<LeaseAcquire> Due = Lease.due(Now, Candidate)) {
+  if (const std::optional<LeaseAcquire> Request =
+          Lease.nextRequest(Now, IsLeaseCandidate)) {
     LeaseTicket = newTicket();
-    submit(*Due, LeaseTicket);
+    submit(*Request, LeaseTicket);
   }
   if (Writer.expire(Now)) {
     WriterTicket = Ticket();
   }
-  Operator.expire(Now, Out);
+  OperatorQueue.expire(Now, Actions);
   if (leads()) {
-    askWorkers();
+    requestReports();
   } else {
-    Waits.clear();
+    Blockers.clear();
   }
-  decide();
+  planChanges();
 }
 
-void Controller::Impl::adopt(std::uint64_t Version, std::string_view Text) {
-  HeardAt = Now;
-  Heard = true;
-  if (Version <= KnownVersion) {
+void Controller::Impl::receiveLedger(std::uint64_t Version,
+                                     std::string_view Text) {
+  LedgerObservedAt = Now;
+  LedgerObserved = true;
+  if (Version <= CurrentVersion) {
     return;
   }
-  absl::StatusOr<Ledger> Value = decodeLedger(Text);
-  if (!Value.ok()) {
-    Out.emplace_back(LogFleetDecision{
+  absl::StatusOr<Ledger> NewLedger = decodeLedger(Text);
+  if (!NewLedger.ok()) {
+    Actions.emplace_back(LogFleetDecision{
         {},
         "ledger-unreadable",
         0,
-        {{"version", Version}, {"why", Value.status().ToString()}}});
+        {{"version", Version}, {"why", NewLedger.status().ToString()}}});
     return;
   }
-  learn(Version, std::move(*Value));
+  updateLedger(Version, std::move(*NewLedger));
 }
 
-void Controller::Impl::learn(std::uint64_t Version, Ledger Value) {
-  if (Version <= KnownVersion) {
+void Controller::Impl::updateLedger(std::uint64_t Version, Ledger NewLedger) {
+  if (Version <= CurrentVersion) {
     return;
   }
-  Known = std::move(Value);
-  KnownVersion = Version;
-  Observed.follow(Known, Now);
-  std::set<HostName> Busy;
-  for (const auto &[Host, Record] : Known.Hosts) {
+  CurrentLedger = std::move(NewLedger);
+  CurrentVersion = Version;
+  Observations.trackStates(CurrentLedger, Now);
+  std::set<HostName> ActiveHosts;
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
     if (!Record.InHand.Id.empty()) {
-      Busy.insert(Host);
+      ActiveHosts.insert(Host);
     }
   }
-  Orders.keepOnly(Busy);
-  std::erase_if(Waits, [&](const auto &Item) {
-    return !Item.first.empty() && !Known.Hosts.contains(Item.first);
+  HostOrders.retainHosts(ActiveHosts);
+  std::erase_if(Blockers, [&](const auto &Item) {
+    return !Item.first.empty() && !CurrentLedger.Hosts.contains(Item.first);
   });
 }
 
-void Controller::Impl::swapEnded(const StoreReply &Reply) {
-  Ledger Sent = Pending ? Pending->value() : Ledger();
-  Sent.WriterToken = Writer.token();
-  switch (Writer.swapReplied(Reply, Now)) {
+void Controller::Impl::handleSwapReply(const StoreReply &Reply) {
+  Ledger SentLedger = PendingDraft ? PendingDraft->value() : Ledger();
+  SentLedger.WriterToken = Writer.token();
+  switch (Writer.handleSwapReply(Reply, Now)) {
   case LedgerWriter::Outcome::Written:
-    HeardAt = Now;
-    learn(Reply.Entry.Version, std::move(Sent));
-    settleDraft(true);
+    LedgerObservedAt = Now;
+    updateLedger(Reply.Entry.Version, std::move(SentLedger));
+    completeDraft(true);
     break;
   case LedgerWriter::Outcome::Conflict:
-    adopt(Reply.Entry.Version, Reply.Entry.Value);
-    settleDraft(false);
+    receiveLedger(Reply.Entry.Version, Reply.Entry.Value);
+    completeDraft(false);
     break;
   case LedgerWriter::Outcome::NotWritten:
-    settleDraft(false);
+    completeDraft(false);
     break;
-  case LedgerWriter::Outcome::Unsettled:
+  case LedgerWriter::Outcome::Unknown:
     break;
   }
 }
 
-void Controller::Impl::readEnded(const StoreReply &Reply) {
-  const LedgerWriter::Outcome End = Writer.readReplied(Reply, Now);
+void Controller::Impl::handleReadReply(const StoreReply &Reply) {
+  const LedgerWriter::Outcome ReadOutcome = Writer.handleReadReply(Reply, Now);
   if (Reply.Status.ok()) {
-    adopt(Reply.Entry.Version, Reply.Entry.Value);
+    receiveLedger(Reply.Entry.Version, Reply.Entry.Value);
   }
-  if (End != LedgerWriter::Outcome::Unsettled && Pending) {
-    settleDraft(End == LedgerWriter::Outcome::Written);
+  if (ReadOutcome != LedgerWriter::Outcome::Unknown && PendingDraft) {
+    completeDraft(ReadOutcome == LedgerWriter::Outcome::Written);
   }
 }
 
-void Controller::Impl::settleDraft(bool Written) {
-  if (Written && Pending) {
-    for (LogFleetDecision &Line : Pending->takeNotes()) {
-      Line.Details["ledger_version"] = KnownVersion;
-      Out.emplace_back(std::move(Line));
+void Controller::Impl::completeDraft(bool IsWritten) {
+  if (IsWritten && PendingDraft) {
+    for (LogFleetDecision &LogLine : PendingDraft->takeLogLines()) {
+      LogLine.Details["ledger_version"] = CurrentVersion;
+      Actions.emplace_back(std::move(LogLine));
     }
-    Operator.written(Out);
+    OperatorQueue.confirmWritten(Actions);
   } else {
-    Operator.notWritten();
+    OperatorQueue.resetDrafted();
   }
-  Pending.reset();
+  PendingDraft.reset();
 }
 
-void Controller::Impl::read() {
+void Controller::Impl::requestRead() {
   WriterTicket = newTicket();
-  submit(Writer.read(Now), WriterTicket);
+  submit(Writer.makeRead(Now), WriterTicket);
 }
 
-void Controller::Impl::decide() {
-  const bool Wanted = leads() || !Operator.empty();
-  if (!Wanted || !Writer.ready(Now)) {
+void Controller::Impl::planChanges() {
+  const bool HasWork = leads() || !OperatorQueue.empty();
+  if (!HasWork || !Writer.ready(Now)) {
     return;
   }
-  if (Writer.unsettled() || !Heard || Now - HeardAt > RefreshAfter) {
-    read();
+  if (Writer.outcomeUnknown() || !LedgerObserved ||
+      Now - LedgerObservedAt > LedgerRefreshPeriod) {
+    requestRead();
     return;
   }
-  Draft Next(Known, KnownVersion);
-  if (KnownVersion == 0) {
-    if (leads() && Rules && Observed.listing() != nullptr) {
-      enrolAll(Next, *Observed.listing(), *Rules, Wall);
+  Draft NextLedger(CurrentLedger, CurrentVersion);
+  if (CurrentVersion == 0) {
+    if (leads() && Rules && Observations.listing() != nullptr) {
+      registerInitialHosts(NextLedger, *Observations.listing(), *Rules, Wall);
     }
   } else {
-    Operator.apply(Next, Rules.get(), Needed, Wall, Out);
+    OperatorQueue.draftAll(NextLedger, Rules.get(), RequiredHosts, Wall,
+                           Actions);
     if (leads() && Rules) {
-      plan(Next);
+      draftChanges(NextLedger);
     }
   }
-  if (Next.changed()) {
-    write(std::move(Next));
+  if (NextLedger.changed()) {
+    submitDraft(std::move(NextLedger));
   }
 }
 
-void Controller::Impl::plan(Draft &Next) {
-  enrolChanges(Next, Observed, *Rules, Now, Wall);
-  HostSteps Steps(Next, {Self, Observed, Orders, Now, Wall,
-                         [this] { return newTicket(); }, Out});
-  for (const auto &[Host, Record] : Known.Hosts) {
-    logWait(Host, Steps.step(Host));
+void Controller::Impl::draftChanges(Draft &NextLedger) {
+  registerHostChanges(NextLedger, Observations, *Rules, Now, Wall);
+  HostReconciler Reconciler(NextLedger,
+                            {ControllerId, Observations, HostOrders, Now, Wall,
+                             [this] { return newTicket(); }, Actions});
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
+    updateBlocker(Host, Reconciler.reconcile(Host));
   }
-  logWait({}, recordLosses(Next, Observed, Now));
-  replaceLost(Next, Observed, *Rules, Needed, Now, Wall, Self);
-  planWave(Next, *Rules, Needed, Wall, Self);
-  Moves.plan(Next, {*Rules, Demand, Observed.slotsPerHost(), Now, Wall, Self});
+  updateBlocker({}, recordLostHosts(NextLedger, Observations, Now));
+  replaceLostHosts(NextLedger, Observations, *Rules, RequiredHosts, Now, Wall,
+                   ControllerId);
+  planWave(NextLedger, *Rules, RequiredHosts, Wall, ControllerId);
+  PoolMovePlanner.plan(NextLedger, {*Rules, Demand, Observations.slotsPerHost(),
+                                    Now, Wall, ControllerId});
 }
 
-void Controller::Impl::write(Draft Next) {
+void Controller::Impl::submitDraft(Draft NextLedger) {
   WriterTicket = newTicket();
-  submit(Writer.swap(Next.value(), KnownVersion, Now), WriterTicket);
-  Pending = std::move(Next);
+  submit(Writer.makeSwap(NextLedger.value(), CurrentVersion, Now),
+         WriterTicket);
+  PendingDraft = std::move(NextLedger);
 }
 
-void Controller::Impl::askWorkers() {
-  const Duration Idle = std::max<Duration>(
-      IdleAskPeriod, IdleAskPeriodPerHost * Known.Hosts.size());
-  for (const auto &[Host, Record] : Known.Hosts) {
-    const HostFacts &Seen = Observed.host(Host);
-    const bool Busy = !Record.InHand.Id.empty() || Seen.SilentSince ||
-                      Record.State != HostState::InService;
-    const Duration Period = Busy ? BusyAskPeriod : Idle;
-    if (!Seen.AskedAt || Now - *Seen.AskedAt >= Period) {
-      Observed.ask(Host, Now);
-      Out.emplace_back(AskWorker{Host});
+void Controller::Impl::requestReports() {
+  const Duration IdlePeriod = std::max<Duration>(
+      IdleReportPeriod, IdleReportPeriodPerHost * CurrentLedger.Hosts.size());
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
+    const HostObservation &Observation = Observations.host(Host);
+    const bool IsActive = !Record.InHand.Id.empty() ||
+                          Observation.UnresponsiveSince ||
+                          Record.State != HostState::InService;
+    const Duration Period = IsActive ? ActiveReportPeriod : IdlePeriod;
+    if (!Observation.RequestedAt || Now - *Observation.RequestedAt >= Period) {
+      Observations.recordRequest(Host, Now);
+      Actions.emplace_back(AskWorker{Host});
     }
   }
 }
 
-void Controller::Impl::logWait(const HostName &Host, const Hindrance &Why) {
-  const auto Last = Waits.find(Host);
-  const bool Same = Last == Waits.end() ? Why.Reason.empty()
-                                        : Last->second.Reason == Why.Reason;
-  if (Why.Reason.empty()) {
-    if (!Same) {
-      Waits.erase(Last);
+void Controller::Impl::updateBlocker(const HostName &Host,
+                                     const Blocker &NewBlocker) {
+  const auto Previous = Blockers.find(Host);
+  const bool ReasonUnchanged =
+      Previous == Blockers.end() ? NewBlocker.Reason.empty()
+                                 : Previous->second.Reason == NewBlocker.Reason;
+  if (NewBlocker.Reason.empty()) {
+    if (!ReasonUnchanged) {
+      Blockers.erase(Previous);
     }
     return;
   }
-  Waits[Host] = Why;
-  // A line for each change of the reason, not for each tick.
-  if (!Same) {
-    Out.emplace_back(
-        LogFleetDecision{Host, Why.Reason, Why.RuleLine, {{"why", Why.Text}}});
+  Blockers[Host] = NewBlocker;
+  // Logs each change of the reason instead of one line per tick.
+  if (!ReasonUnchanged) {
+    Actions.emplace_back(LogFleetDecision{Host,
+                                          NewBlocker.Reason,
+                                          NewBlocker.RuleLine,
+                                          {{"why", NewBlocker.Text}}});
   }
 }
 
@@ -355,15 +372,17 @@
 Controller::Controller(Controller &&) noexcept = default;
 Controller &Controller::operator=(Controller &&) noexcept = default;
 
-std::vector<FleetAction> Controller::handle(const FleetEvent &Happened,
+std::vector<FleetAction> Controller::handle(const FleetEvent &Event,
                                             Instant Now, WallTime Wall) {
-  return Self->handle(Happened, Now, Wall);
+  return Self->handle(Event, Now, Wall);
 }
 
 const Ledger &Controller::ledger() const { return Self->ledger(); }
 std::uint64_t Controller::ledgerVersion() const { return Self->version(); }
-const HostWaits &Controller::waits() const { return Self->waits(); }
-const HostsNeeded &Controller::needed() const { return Self->needed(); }
+const HostBlockers &Controller::blockers() const { return Self->blockers(); }
+const RequiredHostCounts &Controller::requiredHosts() const {
+  return Self->requiredHosts();
+}
 bool Controller::leads() const { return Self->leads(); }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/DemandTracker.cpp
+++ b/Source/Fleet/DemandTracker.cpp
@@ -9,45 +9,47 @@
 
 namespace {
 
-/// Slots kept free beyond the lasting demand, as a share of it.
-constexpr double Headroom = 0.25;
+/// Slots to keep free, as a share of the lasting demand.
+constexpr double HeadroomShare = 0.25;
 
 } // namespace
 
-void DemandTracker::take(const DemandSeen &Seen, Instant Now) {
+void DemandTracker::take(const DemandSeen &Event, Instant Now) {
   using Seconds = std::chrono::duration<double>;
-  const double Step = First ? Seconds(Now - Last) / Seconds(Memory) : 0;
-  const double Weight = 1 - std::exp(-Step);
-  for (const DemandSeen::Need &Need : Seen.Pools) {
+  const double DecayExponent =
+      FirstSample ? Seconds(Now - LastSample) / Seconds(SmoothingTime) : 0;
+  const double Weight = 1 - std::exp(-DecayExponent);
+  for (const DemandSeen::PoolDemand &Demand : Event.Pools) {
     const double Slots =
-        static_cast<double>(Need.SlotsInUse) + Need.SlotsQueued;
-    const auto [Known, IsNew] = Means.emplace(Need.Pool, Slots);
+        static_cast<double>(Demand.SlotsInUse) + Demand.SlotsQueued;
+    const auto [Mean, IsNew] = MeanSlots.emplace(Demand.Pool, Slots);
     if (!IsNew) {
-      Known->second += (Slots - Known->second) * Weight;
+      Mean->second += (Slots - Mean->second) * Weight;
     }
   }
-  if (!First) {
-    First = Now;
+  if (!FirstSample) {
+    FirstSample = Now;
   }
-  Last = Now;
+  LastSample = Now;
 }
 
-bool DemandTracker::warm(Instant Now) const {
-  return First && Now - *First >= WarmUp;
+bool DemandTracker::warmedUp(Instant Now) const {
+  return FirstSample && Now - *FirstSample >= WarmUpPeriod;
 }
 
 double DemandTracker::lastingSlots(const PoolName &Pool) const {
-  const auto Found = Means.find(Pool);
-  return Found == Means.end() ? 0 : Found->second;
+  const auto Position = MeanSlots.find(Pool);
+  return Position == MeanSlots.end() ? 0 : Position->second;
 }
 
-HostsNeeded DemandTracker::hostsNeeded(std::uint32_t SlotsPerHost) const {
-  HostsNeeded Needed;
-  for (const auto &[Pool, Slots] : Means) {
-    Needed[Pool] = static_cast<std::uint32_t>(
-        std::ceil(Slots * (1 + Headroom) / SlotsPerHost));
+RequiredHostCounts
+DemandTracker::requiredHosts(std::uint32_t SlotsPerHost) const {
+  RequiredHostCounts RequiredHosts;
+  for (const auto &[Pool, Slots] : MeanSlots) {
+    RequiredHosts[Pool] = static_cast<std::uint32_t>(
+        std::ceil(Slots * (1 + HeadroomShare) / SlotsPerHost));
   }
-  return Needed;
+  return RequiredHosts;
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/DemandTracker.h
+++ b/Source/Fleet/DemandTracker.h
@@ -1,5 +1,6 @@
 /// \file
-/// The pools' demand over time: bursts are smoothed away, what lasts stays.
+/// The demand of each pool over time, smoothed so that bursts don't count and
+/// only lasting demand remains.
 
 #ifndef BALSAMLATCH_FLEET_DEMANDTRACKER_H
 #define BALSAMLATCH_FLEET_DEMANDTRACKER_H
@@ -12,28 +13,29 @@
 
 namespace balsamlatch::fleet {
 
+/// Exponentially weighted mean of each pool's demand.
 class DemandTracker {
 public:
   /// Time constant of the exponentially weighted mean.
-  static constexpr Duration Memory = std::chrono::minutes(10);
-  /// Until the tracker has watched this long, it knows of no lasting demand.
-  static constexpr Duration WarmUp = std::chrono::minutes(5);
+  static constexpr Duration SmoothingTime = std::chrono::minutes(10);
+  /// Observation time before the mean counts as lasting demand.
+  static constexpr Duration WarmUpPeriod = std::chrono::minutes(5);
 
-  void take(const DemandSeen &Seen, Instant Now);
+  void take(const DemandSeen &Event, Instant Now);
 
-  /// Whether it has watched for long enough to speak of lasting demand.
-  bool warm(Instant Now) const;
+  /// Whether WarmUpPeriod has passed since the first sample.
+  bool warmedUp(Instant Now) const;
 
-  /// Slots that the pool's lasting demand takes.
+  /// Slots that the pool's lasting demand uses.
   double lastingSlots(const PoolName &Pool) const;
 
-  /// Hosts that the lasting demand of each pool takes, with headroom.
-  HostsNeeded hostsNeeded(std::uint32_t SlotsPerHost) const;
+  /// Hosts that each pool needs for its lasting demand, with headroom.
+  RequiredHostCounts requiredHosts(std::uint32_t SlotsPerHost) const;
 
 private:
-  std::map<PoolName, double> Means;
-  std::optional<Instant> First;
-  Instant Last{};
+  std::map<PoolName, double> MeanSlots;
+  std::optional<Instant> FirstSample;
+  Instant LastSample{};
 };
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Draft.cpp
+++ b/Source/Fleet/Draft.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Changes to the next value of the ledger.
+/// Changes to a draft of the next ledger.
 
 #include "Draft.h"
 
@@ -7,8 +7,8 @@
 
 const HostRecord *Draft::find(const HostName &Host) const {
   const std::map<HostName, HostRecord> &Hosts = value().Hosts;
-  const auto Found = Hosts.find(Host);
-  return Found == Hosts.end() ? nullptr : &Found->second;
+  const auto Position = Hosts.find(Host);
+  return Position == Hosts.end() ? nullptr : &Position->second;
 }
 
 absl::Status Draft::change(const HostName &Host, HostChange Change) {
@@ -23,34 +23,37 @@
   if (!State.ok()) {
     return State.status();
   }
-  HostRecord &Changed = edit(Host);
-  Changed.State = *State;
-  // The store's next version is at least this, and no version lies between.
-  Changed.StateVersion = BaseVersion + 1;
+  HostRecord &Updated = edit(Host);
+  Updated.State = *State;
+  // The store's next version is at least this, and no version lies between
+  // them.
+  Updated.StateVersion = BaseVersion + 1;
   return absl::OkStatus();
 }
 
-HostRecord &Draft::edit(const HostName &Host) { return own().Hosts.at(Host); }
+HostRecord &Draft::edit(const HostName &Host) {
+  return mutableLedger().Hosts.at(Host);
+}
 
-Ledger &Draft::editWhole() { return own(); }
+Ledger &Draft::editLedger() { return mutableLedger(); }
 
 void Draft::add(const HostName &Host, HostRecord Record) {
   Record.StateVersion = BaseVersion + 1;
-  own().Hosts.insert_or_assign(Host, std::move(Record));
+  mutableLedger().Hosts.insert_or_assign(Host, std::move(Record));
 }
 
-void Draft::remove(const HostName &Host) { own().Hosts.erase(Host); }
+void Draft::remove(const HostName &Host) { mutableLedger().Hosts.erase(Host); }
 
-Ledger &Draft::own() {
-  if (!Own) {
-    Own = *Base;
+Ledger &Draft::mutableLedger() {
+  if (!ChangedLedger) {
+    ChangedLedger = *BaseLedger;
   }
-  return *Own;
+  return *ChangedLedger;
 }
 
-void Draft::note(const HostName &Host, std::string Reason, unsigned RuleLine,
-                 boost::json::object Details) {
-  Notes.push_back({Host, std::move(Reason), RuleLine, std::move(Details)});
+void Draft::addLogLine(const HostName &Host, std::string Reason,
+                       unsigned RuleLine, boost::json::object Details) {
+  LogLines.push_back({Host, std::move(Reason), RuleLine, std::move(Details)});
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Draft.h
+++ b/Source/Fleet/Draft.h
@@ -1,6 +1,6 @@
 /// \file
-/// The next value of the ledger while it is being made. All checks read the
-/// draft itself, which is written only over the version it was made from.
+/// A draft of the next ledger. All checks read the draft itself, and it is
+/// written only over the ledger version that it was made from.
 
 #ifndef BALSAMLATCH_FLEET_DRAFT_H
 #define BALSAMLATCH_FLEET_DRAFT_H
@@ -13,45 +13,50 @@
 
 namespace balsamlatch::fleet {
 
+/// The next ledger while it is drafted, with the log lines of its changes.
 class Draft {
 public:
-  /// \p From must outlive the draft until the draft is changed.
-  Draft(const Ledger &From, std::uint64_t Version)
-      : Base(&From), BaseVersion(Version) {}
+  /// \p SourceLedger must outlive the draft until the draft is first changed.
+  Draft(const Ledger &SourceLedger, std::uint64_t Version)
+      : BaseLedger(&SourceLedger), BaseVersion(Version) {}
 
-  const Ledger &value() const { return Own ? *Own : *Base; }
+  const Ledger &value() const {
+    return ChangedLedger ? *ChangedLedger : *BaseLedger;
+  }
   std::uint64_t baseVersion() const { return BaseVersion; }
-  bool changed() const { return Own.has_value(); }
+  bool changed() const { return ChangedLedger.has_value(); }
 
-  /// The host's record, or null.
+  /// The host's record, or null if the ledger has no such host.
   const HostRecord *find(const HostName &Host) const;
 
-  /// Changes the host's state, once in a draft. FailedPrecondition: not legal
-  /// now, nothing is changed. NotFound: no such host.
+  /// Changes the host's state, at most once per draft. FailedPrecondition if
+  /// the change isn't legal now: nothing is changed. NotFound if there is no
+  /// such host.
   absl::Status change(const HostName &Host, HostChange Change);
 
-  /// The record for changes other than of its state. The host must be there.
+  /// The record, for changes except of the state. The host must exist.
   HostRecord &edit(const HostName &Host);
-  /// The whole for changes other than to hosts.
-  Ledger &editWhole();
+  /// The ledger, for changes except of hosts.
+  Ledger &editLedger();
 
   void add(const HostName &Host, HostRecord Record);
   void remove(const HostName &Host);
 
-  /// A line for the log once the draft is written.
-  void note(const HostName &Host, std::string Reason, unsigned RuleLine,
-            boost::json::object Details);
-  std::vector<LogFleetDecision> takeNotes() { return std::move(Notes); }
+  /// Adds a log line that is emitted once the draft is written.
+  void addLogLine(const HostName &Host, std::string Reason, unsigned RuleLine,
+                  boost::json::object Details);
+  std::vector<LogFleetDecision> takeLogLines() { return std::move(LogLines); }
 
 private:
-  Ledger &own();
+  Ledger &mutableLedger();
 
-  const Ledger *Base;
-  // Copied from Base by the first change: most drafts stay unchanged.
-  std::optional<Ledger> Own;
-  // Invariant: the draft is written only over this version.
+  const Ledger *BaseLedger;
+  // Copied from BaseLedger at the first change, because most drafts stay
+  // unchanged.
+  std::optional<Ledger> ChangedLedger;
+  // The only version that the draft may replace.
   std::uint64_t BaseVersion;
-  std::vector<LogFleetDecision> Notes;
+  std::vector<LogFleetDecision> LogLines;
 };
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/FleetObservations.cpp
+++ b/Source/Fleet/FleetObservations.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bookkeeping of what the controller has observed.
+/// Keeps the observations up to date from the controller's events.
 
 #include "FleetObservations.h"
 
@@ -9,99 +9,106 @@
 
 namespace {
 
-void countSilent(HostFacts &Known, Instant Now) {
-  if (!Known.SilentSince) {
-    Known.SilentSince = Now;
+void countFailedReport(HostObservation &Observation, Instant Now) {
+  if (!Observation.UnresponsiveSince) {
+    Observation.UnresponsiveSince = Now;
   }
-  ++Known.SilentReports;
+  ++Observation.FailedReports;
 }
 
 } // namespace
 
-void Facts::take(const WorkerSeen &Seen, Instant Now) {
-  HostFacts &Known = Hosts[Seen.Host];
-  Known.HeardAt = Now;
-  if (!Seen.Status.ok()) {
-    countSilent(Known, Now);
+void FleetObservations::record(const WorkerSeen &Event, Instant Now) {
+  HostObservation &Observation = Hosts[Event.Host];
+  Observation.AnsweredAt = Now;
+  if (!Event.Status.ok()) {
+    countFailedReport(Observation, Now);
     return;
   }
-  if (Seen.Report.BootCount < Known.BootCount) {
+  if (Event.Report.BootCount < Observation.BootCount) {
     return;
   }
-  Known.BootCount = Seen.Report.BootCount;
-  Known.Report = Seen.Report;
-  Known.ReportAt = Now;
-  SlotsPerHost = std::max(Seen.Report.SlotsTotal, 1u);
-  Known.SilentSince.reset();
-  Known.SilentReports = 0;
+  Observation.BootCount = Event.Report.BootCount;
+  Observation.Report = Event.Report;
+  Observation.ReportedAt = Now;
+  SlotsPerHost = std::max(Event.Report.SlotsTotal, 1u);
+  Observation.UnresponsiveSince.reset();
+  Observation.FailedReports = 0;
 }
 
-void Facts::take(const EntriesSeen &Seen, Instant Now) {
-  Entries = Seen.Live;
-  EntriesAt = Now;
+void FleetObservations::record(const EntriesSeen &Event, Instant Now) {
+  Entries = Event.Live;
+  EntriesUpdatedAt = Now;
 }
 
-void Facts::take(const ListingSeen &Seen) {
-  if (!Listing || Seen.Listing.Generation >= Listing->Generation) {
-    Listing = Seen.Listing;
+void FleetObservations::record(const ListingSeen &Event) {
+  if (!Listing || Event.Listing.Generation >= Listing->Generation) {
+    Listing = Event.Listing;
   }
 }
 
-void Facts::follow(const Ledger &Value, Instant Now) {
+void FleetObservations::trackStates(const Ledger &CurrentLedger, Instant Now) {
   std::erase_if(Hosts, [&](const auto &Item) {
-    return !Value.Hosts.contains(Item.first);
+    return !CurrentLedger.Hosts.contains(Item.first);
   });
-  for (const auto &[Host, Record] : Value.Hosts) {
-    HostFacts &Known = Hosts[Host];
-    if (Known.StateVersion != Record.StateVersion) {
-      Known.StateVersion = Record.StateVersion;
-      Known.StateSince = Now;
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
+    HostObservation &Observation = Hosts[Host];
+    if (Observation.StateVersion != Record.StateVersion) {
+      Observation.StateVersion = Record.StateVersion;
+      Observation.StateSince = Now;
     }
   }
 }
 
-void Facts::ask(const HostName &Host, Instant Now) {
-  HostFacts &Known = Hosts[Host];
-  if (Known.AskedAt && Known.HeardAt < *Known.AskedAt) {
-    countSilent(Known, Now);
+void FleetObservations::recordRequest(const HostName &Host, Instant Now) {
+  HostObservation &Observation = Hosts[Host];
+  if (Observation.RequestedAt &&
+      Observation.AnsweredAt < *Observation.RequestedAt) {
+    countFailedReport(Observation, Now);
   }
-  Known.AskedAt = Now;
+  Observation.RequestedAt = Now;
 }
 
-bool Facts::reportedSince(const HostName &Host, Instant Since, Instant Now) {
-  const HostFacts &Known = Hosts[Host];
-  return Known.Report && !Known.SilentSince && Known.ReportAt >= Since &&
-         Now - Known.ReportAt <= Fresh;
+bool FleetObservations::reportedSince(const HostName &Host, Instant Since,
+                                      Instant Now) {
+  const HostObservation &Observation = Hosts[Host];
+  return Observation.Report && !Observation.UnresponsiveSince &&
+         Observation.ReportedAt >= Since &&
+         Now - Observation.ReportedAt <= MaxAge;
 }
 
-bool Facts::silent(const HostName &Host, Instant Now) {
-  const HostFacts &Known = Hosts[Host];
-  return Known.SilentSince && Now - *Known.SilentSince >= LostAfter &&
-         Known.SilentReports >= LostReports;
+bool FleetObservations::unresponsive(const HostName &Host, Instant Now) {
+  const HostObservation &Observation = Hosts[Host];
+  return Observation.UnresponsiveSince &&
+         Now - *Observation.UnresponsiveSince >= LossTimeout &&
+         Observation.FailedReports >= MinFailedReports;
 }
 
-bool Facts::seesMost(const Ledger &Value, Instant Now) {
-  std::size_t Seen = 0;
-  for (const auto &[Host, Record] : Value.Hosts) {
-    const HostFacts &Known = Hosts[Host];
-    Seen += Known.Report && !silent(Host, Now) ? 1 : 0;
+bool FleetObservations::reportsFromMajority(const Ledger &CurrentLedger,
+                                            Instant Now) {
+  std::size_t Reporting = 0;
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
+    const HostObservation &Observation = Hosts[Host];
+    Reporting += Observation.Report && !unresponsive(Host, Now) ? 1 : 0;
   }
-  return Seen * 2 > Value.Hosts.size();
+  return Reporting * 2 > CurrentLedger.Hosts.size();
 }
 
-bool Facts::entriesActOn(std::uint64_t Version, Instant Now) const {
-  return EntriesAt && Now - *EntriesAt <= Fresh && !Entries.empty() &&
-         entriesBehind(Version).empty();
+bool FleetObservations::entriesHaveReached(std::uint64_t Version,
+                                           Instant Now) const {
+  return EntriesUpdatedAt && Now - *EntriesUpdatedAt <= MaxAge &&
+         !Entries.empty() && entriesBehind(Version).empty();
 }
 
-std::vector<EntryName> Facts::entriesBehind(std::uint64_t Version) const {
-  std::vector<EntryName> Behind;
+std::vector<EntryName>
+FleetObservations::entriesBehind(std::uint64_t Version) const {
+  std::vector<EntryName> EntriesBehind;
   for (const EntriesSeen::View &View : Entries) {
     if (View.LedgerVersion < Version) {
-      Behind.push_back(View.Entry);
+      EntriesBehind.push_back(View.Entry);
     }
   }
-  return Behind;
+  return EntriesBehind;
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/HostLifecycle.cpp
+++ b/Source/Fleet/HostLifecycle.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// The lifecycle of a host as a Boost.MSM machine.
+/// The host lifecycle as a Boost.MSM state machine.
 
-// The table has more rows than the headers' preprocessed vectors.
+// The transition table exceeds the limit of Boost.MPL's preprocessed headers.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_LIST_SIZE 30
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
@@ -21,26 +21,26 @@
 namespace msm = boost::msm;
 namespace front = boost::msm::front;
 
-/// Puts a new machine into the state that the ledger records.
+/// Event that puts a new machine into the state recorded in the ledger.
 template <HostState State> struct Restore {};
-template <HostChange Change> struct Changed {};
+template <HostChange Change> struct ChangeEvent {};
 
-template <HostState State> struct In : front::state<> {
+template <HostState State> struct LedgerState : front::state<> {
   static constexpr HostState Value = State;
 };
 struct Unknown : front::state<> {};
 
-using InService = In<HostState::InService>;
-using Leaving = In<HostState::Leaving>;
-using Drained = In<HostState::Drained>;
-using InMaintenance = In<HostState::InMaintenance>;
-using OnProbation = In<HostState::OnProbation>;
-using Failed = In<HostState::Failed>;
+using InService = LedgerState<HostState::InService>;
+using Leaving = LedgerState<HostState::Leaving>;
+using Drained = LedgerState<HostState::Drained>;
+using InMaintenance = LedgerState<HostState::InMaintenance>;
+using OnProbation = LedgerState<HostState::OnProbation>;
+using Failed = LedgerState<HostState::Failed>;
 
-template <typename From, HostChange Change, typename To>
-using Row = front::Row<From, Changed<Change>, To>;
+template <typename Source, HostChange Change, typename Target>
+using Row = front::Row<Source, ChangeEvent<Change>, Target>;
 template <HostState State>
-using RestoreRow = front::Row<Unknown, Restore<State>, In<State>>;
+using RestoreRow = front::Row<Unknown, Restore<State>, LedgerState<State>>;
 
 struct LifecycleDef : front::state_machine_def<LifecycleDef> {
   using initial_state = Unknown;
@@ -60,7 +60,7 @@
             Row<Drained, HostChange::StartReboot, InMaintenance>,
             Row<InMaintenance, HostChange::Readmit, OnProbation>,
             Row<Failed, HostChange::Readmit, OnProbation>,
-            Row<OnProbation, HostChange::Prove, InService>,
+            Row<OnProbation, HostChange::PassProbation, InService>,
             Row<InService, HostChange::Fail, Failed>,
             Row<OnProbation, HostChange::Fail, Failed>,
             Row<Leaving, HostChange::Fail, Failed>,
@@ -70,29 +70,30 @@
 
   template <typename Machine, typename Event>
   void no_transition(const Event &, Machine &, int) {
-    Refused = true;
+    IsRejected = true;
   }
 
-  bool Refused = false;
+  bool IsRejected = false;
 };
 
 using Lifecycle = msm::back::state_machine<LifecycleDef>;
 
-/// Calls \p Use with the compile-time value that equals \p Value.
+/// Calls \p Callback with the compile-time constant that equals \p Value.
 template <auto First, auto Last, typename Enum, typename Function>
-void withConstant(Enum Value, Function Use) {
+void dispatchConstant(Enum Value, Function Callback) {
   if (Value == First) {
-    Use(std::integral_constant<Enum, First>());
+    Callback(std::integral_constant<Enum, First>());
     return;
   }
   if constexpr (First != Last) {
-    withConstant<static_cast<Enum>(static_cast<int>(First) + 1), Last>(Value,
-                                                                       Use);
+    dispatchConstant<static_cast<Enum>(static_cast<int>(First) + 1), Last>(
+        Value, Callback);
   }
 }
 
-/// MSM numbers the states by their first place as a source in the table.
-struct NameCurrent {
+/// Finds the HostState of the machine's current state. MSM numbers states by
+/// their first occurrence as a source in the table.
+struct FindCurrentState {
   template <typename State> void operator()(State) const {
     if constexpr (requires { State::Value; }) {
       constexpr int Id = msm::back::get_state_id<Lifecycle::stt, State>::value;
@@ -106,43 +107,46 @@
   HostState *Result;
 };
 
-HostState currentOf(const Lifecycle &Machine) {
+HostState currentState(const Lifecycle &Machine) {
   HostState Result = HostState::Failed;
-  const NameCurrent Name{&Machine, &Result};
-  Name(InService());
-  Name(Leaving());
-  Name(Drained());
-  Name(InMaintenance());
-  Name(OnProbation());
-  Name(Failed());
+  const FindCurrentState Finder{&Machine, &Result};
+  Finder(InService());
+  Finder(Leaving());
+  Finder(Drained());
+  Finder(InMaintenance());
+  Finder(OnProbation());
+  Finder(Failed());
   return Result;
 }
 
 } // namespace
 
-absl::StatusOr<HostState> nextState(HostState From, HostChange Change) {
+absl::StatusOr<HostState> nextState(HostState Source, HostChange Change) {
   Lifecycle Machine;
   Machine.start();
-  withConstant<HostState::InService, HostState::Failed>(
-      From, [&](auto State) { Machine.process_event(Restore<State()>()); });
-  withConstant<HostChange::Leave, HostChange::Fail>(
-      Change, [&](auto What) { Machine.process_event(Changed<What()>()); });
-  if (Machine.Refused) {
+  dispatchConstant<HostState::InService, HostState::Failed>(
+      Source, [&](auto State) { Machine.process_event(Restore<State()>()); });
+  dispatchConstant<HostChange::Leave, HostChange::Fail>(
+      Change, [&](auto ChangeConstant) {
+        Machine.process_event(ChangeEvent<ChangeConstant()>());
+      });
+  if (Machine.IsRejected) {
     return absl::FailedPreconditionError(std::string("not legal while ") +
-                                         stateCode(From));
+                                         stateCode(Source));
   }
-  return currentOf(Machine);
+  return currentState(Machine);
 }
 
-bool legalTransition(HostState From, HostState To) {
-  constexpr std::array All = {HostChange::Leave,       HostChange::Quiesce,
-                              HostChange::StartReboot, HostChange::Readmit,
-                              HostChange::Recall,      HostChange::Prove,
-                              HostChange::Fail};
-  return std::any_of(All.begin(), All.end(), [&](HostChange Change) {
-    const absl::StatusOr<HostState> Next = nextState(From, Change);
-    return Next.ok() && *Next == To;
-  });
+bool legalTransition(HostState Source, HostState Target) {
+  constexpr std::array AllChanges = {
+      HostChange::Leave,   HostChange::Quiesce, HostChange::StartReboot,
+      HostChange::Readmit, HostChange::Recall,  HostChange::PassProbation,
+      HostChange::Fail};
+  return std::any_of(
+      AllChanges.begin(), AllChanges.end(), [&](HostChange Change) {
+        const absl::StatusOr<HostState> Next = nextState(Source, Change);
+        return Next.ok() && *Next == Target;
+      });
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/HostReconciler.cpp
+++ b/Source/Fleet/HostReconciler.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The steps of the operations in hand.
+/// The reconciliation of a host in each lifecycle state.
 
 #include "HostReconciler.h"
 
@@ -18,9 +18,10 @@
   return OrderCodes.at(static_cast<std::size_t>(Kind));
 }
 
-/// Names the pool too: an operation can be turned back or to another pool.
-std::string assignId(const Operation &Hand, const PoolName &Pool) {
-  return orderId(Hand.Id, HostOrderKind::Assign) + "/" + Pool.Text;
+/// Includes the pool, because a cancelled move assigns the host back to its old
+/// pool under the same operation.
+std::string assignId(const Operation &Op, const PoolName &Pool) {
+  return orderId(Op.Id, HostOrderKind::Assign) + "/" + Pool.Text;
 }
 
 bool idle(const WorkerReport &Report) {
@@ -29,310 +30,325 @@
 
 } // namespace
 
-std::string orderId(const std::string &Operation, HostOrderKind Kind) {
-  return Operation + "/" + orderCode(Kind);
+std::string orderId(const std::string &OperationId, HostOrderKind Kind) {
+  return OperationId + "/" + orderCode(Kind);
 }
 
-Hindrance HostSteps::step(const HostName &Host) {
-  const HostRecord *Found = Next.find(Host);
-  // A host that changed in this draft waits until that is written.
-  if (Found == nullptr || Found->StateVersion > Next.baseVersion()) {
+Blocker HostReconciler::reconcile(const HostName &Host) {
+  const HostRecord *CurrentRecord = NextLedger.find(Host);
+  // A host that changes state in this draft is reconciled after the write.
+  if (CurrentRecord == nullptr ||
+      CurrentRecord->StateVersion > NextLedger.baseVersion()) {
     return {};
   }
-  if (Found->State == HostState::InService) {
-    return stepInService(Host);
+  if (CurrentRecord->State == HostState::InService) {
+    return reconcileInService(Host);
   }
-  // A copy: the steps change the draft.
-  const HostRecord Record = *Found;
+  // A copy, because the steps below change the draft.
+  const HostRecord Record = *CurrentRecord;
   switch (Record.State) {
   case HostState::InService:
     return {};
   case HostState::Leaving:
-    return stepLeaving(Host, Record);
+    return reconcileLeaving(Host, Record);
   case HostState::Drained:
-    return stepDrained(Host, Record);
+    return reconcileDrained(Host, Record);
   case HostState::InMaintenance:
-    return stepMaintenance(Host, Record);
+    return reconcileMaintenance(Host, Record);
   case HostState::OnProbation:
-    return stepProbation(Host);
+    return reconcileProbation(Host);
   case HostState::Failed:
-    return stepFailed(Host, Record);
+    return reconcileFailed(Host, Record);
   }
   return {};
 }
 
-Hindrance HostSteps::stepLeaving(const HostName &Host,
-                                 const HostRecord &Record) {
-  if (!ordered(HostOrderKind::Drain, Host, Record.InHand)) {
-    return waitForOrder(HostOrderKind::Drain, Host, Record.InHand);
+Blocker HostReconciler::reconcileLeaving(const HostName &Host,
+                                         const HostRecord &Record) {
+  if (!ensureOrder(HostOrderKind::Drain, Host, Record.InHand)) {
+    return orderBlocker(HostOrderKind::Drain, Host, Record.InHand);
   }
   if (Record.InHand.Cancelled) {
     return recall(Host, Record);
   }
-  Hindrance Waits = waitForIdle(Host, Record);
-  if (Waits.Reason.empty()) {
-    finish(Host, HostChange::Quiesce, "host-drained");
+  Blocker WaitBlocker = ensureIdle(Host, Record);
+  if (WaitBlocker.Reason.empty()) {
+    applyChange(Host, HostChange::Quiesce, "host-drained");
   }
-  return Waits;
+  return WaitBlocker;
 }
 
-Hindrance HostSteps::stepDrained(const HostName &Host,
-                                 const HostRecord &Record) {
-  if (!ordered(HostOrderKind::Drain, Host, Record.InHand)) {
-    return waitForOrder(HostOrderKind::Drain, Host, Record.InHand);
+Blocker HostReconciler::reconcileDrained(const HostName &Host,
+                                         const HostRecord &Record) {
+  if (!ensureOrder(HostOrderKind::Drain, Host, Record.InHand)) {
+    return orderBlocker(HostOrderKind::Drain, Host, Record.InHand);
   }
   if (Record.InHand.Cancelled) {
     return recall(Host, Record);
   }
   if (Record.InHand.Kind == OperationKind::Move) {
-    return stepMove(Host, Record);
+    return reconcileMove(Host, Record);
   }
   if (Record.InHand.Kind != OperationKind::Maintain) {
     return {"host-held", 0, "drained until an owner returns it"};
   }
-  Hindrance Waits = waitForIdle(Host, Record);
-  if (Waits.Reason.empty()) {
-    finish(Host, HostChange::StartReboot, "host-rebooting");
-    Next.edit(Host).InHand.BootBefore = Around.Observed.host(Host).BootCount;
+  Blocker WaitBlocker = ensureIdle(Host, Record);
+  if (WaitBlocker.Reason.empty()) {
+    applyChange(Host, HostChange::StartReboot, "host-rebooting");
+    NextLedger.edit(Host).InHand.PreRebootBootCount =
+        Context.Observations.host(Host).BootCount;
   }
-  return Waits;
+  return WaitBlocker;
 }
 
-Hindrance HostSteps::stepMove(const HostName &Host, const HostRecord &Record) {
-  if (!assigned(Host, Record.InHand, Record.InHand.Target)) {
+Blocker HostReconciler::reconcileMove(const HostName &Host,
+                                      const HostRecord &Record) {
+  if (!ensureAssigned(Host, Record.InHand, Record.InHand.Target)) {
     return {"waiting-order", 0, "the platform has not done the assignment"};
   }
-  Hindrance Waits = waitForReturn(Host, Record.InHand);
-  if (!Waits.Reason.empty()) {
-    return Waits;
+  Blocker WaitBlocker = ensureReturned(Host, Record.InHand);
+  if (!WaitBlocker.Reason.empty()) {
+    return WaitBlocker;
   }
-  finish(Host, HostChange::Readmit, "host-moved");
-  Next.edit(Host).Pool = Record.InHand.Target;
-  if (Record.InHand.BootBefore != 0) {
-    Next.edit(Host).LastMaintained = Around.Wall;
+  applyChange(Host, HostChange::Readmit, "host-moved");
+  NextLedger.edit(Host).Pool = Record.InHand.Target;
+  if (Record.InHand.PreRebootBootCount != 0) {
+    NextLedger.edit(Host).LastMaintained = Context.Wall;
   }
-  endReplacement(Record);
+  completeReplacement(Record);
   return {};
 }
 
-void HostSteps::endReplacement(const HostRecord &Healthy) {
-  const HostRecord *Lost = Next.find(Healthy.InHand.Replaces);
-  if (Lost == nullptr || Lost->State != HostState::Failed ||
-      Lost->Pool != Healthy.InHand.Target) {
+void HostReconciler::completeReplacement(const HostRecord &Replacement) {
+  const HostRecord *LostHost = NextLedger.find(Replacement.InHand.Replaces);
+  if (LostHost == nullptr || LostHost->State != HostState::Failed ||
+      LostHost->Pool != Replacement.InHand.Target) {
     return;
   }
-  // The lost host takes the place that the healthy one left. When it comes
-  // back, the platform has to be told so.
-  HostRecord &Replaced = Next.edit(Healthy.InHand.Replaces);
-  Replaced.Pool = Healthy.Pool;
-  Replaced.InHand.Kind = OperationKind::Move;
-  Replaced.InHand.Target = Healthy.Pool;
-  Replaced.InHand.Replaces = HostName();
+  // The lost host gets the pool that its replacement left. Its record becomes a
+  // move, so that the platform is told the new pool when the host returns.
+  HostRecord &ReplacedRecord = NextLedger.edit(Replacement.InHand.Replaces);
+  ReplacedRecord.Pool = Replacement.Pool;
+  ReplacedRecord.InHand.Kind = OperationKind::Move;
+  ReplacedRecord.InHand.Target = Replacement.Pool;
+  ReplacedRecord.InHand.Replaces = HostName();
 }
 
-bool HostSteps::assigned(const HostName &Host, const Operation &Hand,
-                         const PoolName &Pool) {
-  const HostFacts &Known = Around.Observed.host(Host);
-  if (Around.Observed.reportedSince(Host, Known.StateSince, Around.Now) &&
-      !Known.Report->Draining && !Around.Orders.settled(assignId(Hand, Pool))) {
-    // The platform assigns drained hosts only.
-    repair(HostOrderKind::Drain, Host);
-  }
-  const HostOrder Order{HostOrderKind::Assign, Host, assignId(Hand, Pool),
-                        Pool};
-  return Around.Orders.settle(Order, Around.Now, Around.NewTicket(),
-                              Around.Out);
+bool HostReconciler::ensureAssigned(const HostName &Host, const Operation &Op,
+                                    const PoolName &Pool) {
+  const HostObservation &Observation = Context.Observations.host(Host);
+  if (Context.Observations.reportedSince(Host, Observation.StateSince,
+                                         Context.Now) &&
+      !Observation.Report->Draining &&
+      !Context.Orders.completed(assignId(Op, Pool))) {
+    // The platform assigns a host only while it is drained.
+    reissueOrder(HostOrderKind::Drain, Host);
+  }
+  const HostOrder Order{HostOrderKind::Assign, Host, assignId(Op, Pool), Pool};
+  return Context.Orders.ensureCompleted(Order, Context.Now, Context.NewTicket(),
+                                        Context.Actions);
 }
 
-Hindrance HostSteps::stepMaintenance(const HostName &Host,
-                                     const HostRecord &Record) {
-  const HostFacts &Known = Around.Observed.host(Host);
-  if (Around.Now - Known.StateSince > ReturnWait) {
-    failHost(Next, Host, "did not come back from its reboot");
+Blocker HostReconciler::reconcileMaintenance(const HostName &Host,
+                                             const HostRecord &Record) {
+  const HostObservation &Observation = Context.Observations.host(Host);
+  if (Context.Now - Observation.StateSince > RebootTimeout) {
+    recordHostLoss(NextLedger, Host, "did not come back from its reboot");
     return {};
   }
-  const bool Reported =
-      Around.Observed.reportedSince(Host, Known.StateSince, Around.Now);
-  if (Reported && !Known.Report->Draining &&
-      !Around.Orders.settled(
+  const bool HasReported = Context.Observations.reportedSince(
+      Host, Observation.StateSince, Context.Now);
+  if (HasReported && !Observation.Report->Draining &&
+      !Context.Orders.completed(
           orderId(Record.InHand.Id, HostOrderKind::Reboot))) {
-    // It has restarted by itself and forgotten that it was drained.
-    repair(HostOrderKind::Drain, Host);
+    // The worker restarted by itself and lost its draining state.
+    reissueOrder(HostOrderKind::Drain, Host);
     return {"waiting-worker", 0, "the worker takes tasks before its reboot"};
   }
-  if (!ordered(HostOrderKind::Reboot, Host, Record.InHand)) {
-    return waitForOrder(HostOrderKind::Reboot, Host, Record.InHand);
+  if (!ensureOrder(HostOrderKind::Reboot, Host, Record.InHand)) {
+    return orderBlocker(HostOrderKind::Reboot, Host, Record.InHand);
   }
-  if (!Reported || Known.BootCount <= Record.InHand.BootBefore) {
+  if (!HasReported ||
+      Observation.BootCount <= Record.InHand.PreRebootBootCount) {
     return {"waiting-reboot", 0, "the worker has not reported a new start"};
   }
-  Hindrance Waits = waitForReturn(Host, Record.InHand);
-  if (Waits.Reason.empty()) {
-    finish(Host, HostChange::Readmit, "host-readmitted");
-    Next.edit(Host).LastMaintained = Around.Wall;
+  Blocker WaitBlocker = ensureReturned(Host, Record.InHand);
+  if (WaitBlocker.Reason.empty()) {
+    applyChange(Host, HostChange::Readmit, "host-readmitted");
+    NextLedger.edit(Host).LastMaintained = Context.Wall;
   }
-  return Waits;
+  return WaitBlocker;
 }
 
-Hindrance HostSteps::stepProbation(const HostName &Host) {
-  const HostFacts &Known = Around.Observed.host(Host);
-  if (!Around.Observed.reportedSince(Host, Known.StateSince, Around.Now)) {
+Blocker HostReconciler::reconcileProbation(const HostName &Host) {
+  const HostObservation &Observation = Context.Observations.host(Host);
+  if (!Context.Observations.reportedSince(Host, Observation.StateSince,
+                                          Context.Now)) {
     return {"waiting-worker", 0, "no fresh report of the worker"};
   }
-  if (Known.Report->Draining) {
-    repair(HostOrderKind::Return, Host);
+  if (Observation.Report->Draining) {
+    reissueOrder(HostOrderKind::Return, Host);
     return {"waiting-worker", 0, "the worker still refuses tasks"};
   }
-  if (Around.Now - Known.StateSince < Probation) {
+  if (Context.Now - Observation.StateSince < ProbationPeriod) {
     return {"on-probation", 0, "must prove itself first"};
   }
-  finish(Host, HostChange::Prove, "host-proved");
-  Next.edit(Host).InHand = Operation();
+  applyChange(Host, HostChange::PassProbation, "host-proved");
+  NextLedger.edit(Host).InHand = Operation();
   return {};
 }
 
-Hindrance HostSteps::stepInService(const HostName &Host) {
-  const HostFacts &Known = Around.Observed.host(Host);
-  // A late order of a controller that was paused may have drained the worker.
-  if (Around.Observed.reportedSince(Host, Known.StateSince, Around.Now) &&
-      Known.Report->Draining) {
-    repair(HostOrderKind::Return, Host);
+Blocker HostReconciler::reconcileInService(const HostName &Host) {
+  const HostObservation &Observation = Context.Observations.host(Host);
+  // A delayed order of a controller that was paused may have drained it.
+  if (Context.Observations.reportedSince(Host, Observation.StateSince,
+                                         Context.Now) &&
+      Observation.Report->Draining) {
+    reissueOrder(HostOrderKind::Return, Host);
     return {"waiting-worker", 0, "the worker refuses tasks; it is returned"};
   }
   return {};
 }
 
-Hindrance HostSteps::stepFailed(const HostName &Host,
-                                const HostRecord &Record) {
-  const HostFacts &Known = Around.Observed.host(Host);
-  if (!Around.Observed.reportedSince(Host, Known.StateSince, Around.Now)) {
+Blocker HostReconciler::reconcileFailed(const HostName &Host,
+                                        const HostRecord &Record) {
+  const HostObservation &Observation = Context.Observations.host(Host);
+  if (!Context.Observations.reportedSince(Host, Observation.StateSince,
+                                          Context.Now)) {
     return {"waiting-worker", 0, "the worker does not report"};
   }
-  const Operation &Hand = Record.InHand;
-  if (Hand.Kind == OperationKind::Drain && !Hand.Cancelled) {
+  const Operation &Op = Record.InHand;
+  if (Op.Kind == OperationKind::Drain && !Op.Cancelled) {
     return {"host-held", 0, "drained until an owner returns it"};
   }
-  const bool Rebooted = Hand.BootBefore != 0;
-  if (Rebooted) {
-    if (!ordered(HostOrderKind::Reboot, Host, Hand)) {
-      return waitForOrder(HostOrderKind::Reboot, Host, Hand);
+  const bool WasRebooted = Op.PreRebootBootCount != 0;
+  if (WasRebooted) {
+    if (!ensureOrder(HostOrderKind::Reboot, Host, Op)) {
+      return orderBlocker(HostOrderKind::Reboot, Host, Op);
     }
-    if (Known.BootCount <= Hand.BootBefore) {
+    if (Observation.BootCount <= Op.PreRebootBootCount) {
       return {"waiting-reboot", 0, "the worker has not reported a new start"};
     }
   }
-  if (Hand.Kind == OperationKind::Move) {
-    // The platform may have assigned it already: what was begun is finished.
-    return stepMove(Host, Record);
+  if (Op.Kind == OperationKind::Move) {
+    // The platform may have assigned the host already, so the move is
+    // completed.
+    return reconcileMove(Host, Record);
   }
-  Hindrance Waits = waitForReturn(Host, Hand);
-  if (Waits.Reason.empty()) {
-    finish(Host, HostChange::Readmit, "host-recovered");
-    if (Rebooted) {
-      Next.edit(Host).LastMaintained = Around.Wall;
+  Blocker WaitBlocker = ensureReturned(Host, Op);
+  if (WaitBlocker.Reason.empty()) {
+    applyChange(Host, HostChange::Readmit, "host-recovered");
+    if (WasRebooted) {
+      NextLedger.edit(Host).LastMaintained = Context.Wall;
     }
   }
-  return Waits;
+  return WaitBlocker;
 }
 
-Hindrance HostSteps::recall(const HostName &Host, const HostRecord &Record) {
+Blocker HostReconciler::recall(const HostName &Host, const HostRecord &Record) {
   if (Record.InHand.Kind == OperationKind::Move) {
-    // The platform may have assigned it to the target already.
-    if (!assigned(Host, Record.InHand, Record.Pool)) {
+    // The platform may have assigned the host to the target already.
+    if (!ensureAssigned(Host, Record.InHand, Record.Pool)) {
       return {"waiting-order", 0, "the platform has not taken the move back"};
     }
   }
-  Hindrance Waits = waitForReturn(Host, Record.InHand);
-  if (Waits.Reason.empty()) {
-    finish(Host, HostChange::Recall, "host-recalled");
-    Next.edit(Host).InHand = Operation();
+  Blocker WaitBlocker = ensureReturned(Host, Record.InHand);
+  if (WaitBlocker.Reason.empty()) {
+    applyChange(Host, HostChange::Recall, "host-recalled");
+    NextLedger.edit(Host).InHand = Operation();
   }
-  return Waits;
+  return WaitBlocker;
 }
 
-bool HostSteps::ordered(HostOrderKind Kind, const HostName &Host,
-                        const Operation &Hand) {
-  const HostOrder Order{Kind, Host, orderId(Hand.Id, Kind), {}};
-  return Around.Orders.settle(Order, Around.Now, Around.NewTicket(),
-                              Around.Out);
+bool HostReconciler::ensureOrder(HostOrderKind Kind, const HostName &Host,
+                                 const Operation &Op) {
+  const HostOrder Order{Kind, Host, orderId(Op.Id, Kind), {}};
+  return Context.Orders.ensureCompleted(Order, Context.Now, Context.NewTicket(),
+                                        Context.Actions);
 }
 
-Hindrance HostSteps::waitForOrder(HostOrderKind Kind, const HostName &,
-                                  const Operation &Hand) const {
-  const absl::Status Last = Around.Orders.refusal(orderId(Hand.Id, Kind));
-  return {"waiting-order", 0,
-          fmt::format("the platform has not done {}: {}", orderCode(Kind),
-                      Last.ok() ? "no answer yet" : Last.ToString())};
+Blocker HostReconciler::orderBlocker(HostOrderKind Kind, const HostName &,
+                                     const Operation &Op) const {
+  const absl::Status LastStatus =
+      Context.Orders.lastStatus(orderId(Op.Id, Kind));
+  return {
+      "waiting-order", 0,
+      fmt::format("the platform has not done {}: {}", orderCode(Kind),
+                  LastStatus.ok() ? "no answer yet" : LastStatus.ToString())};
 }
 
-Hindrance HostSteps::waitForReturn(const HostName &Host,
-                                   const Operation &Hand) {
-  if (!ordered(HostOrderKind::Return, Host, Hand)) {
-    return waitForOrder(HostOrderKind::Return, Host, Hand);
-  }
-  const Instant Done =
-      Around.Orders.settledAt(orderId(Hand.Id, HostOrderKind::Return));
-  if (!Around.Observed.reportedSince(Host, Done, Around.Now)) {
+Blocker HostReconciler::ensureReturned(const HostName &Host,
+                                       const Operation &Op) {
+  if (!ensureOrder(HostOrderKind::Return, Host, Op)) {
+    return orderBlocker(HostOrderKind::Return, Host, Op);
+  }
+  const Instant CompletedAt =
+      Context.Orders.completedAt(orderId(Op.Id, HostOrderKind::Return));
+  if (!Context.Observations.reportedSince(Host, CompletedAt, Context.Now)) {
     return {"waiting-worker", 0, "no fresh report of the worker"};
   }
-  if (Around.Observed.host(Host).Report->Draining) {
-    repair(HostOrderKind::Return, Host);
+  if (Context.Observations.host(Host).Report->Draining) {
+    reissueOrder(HostOrderKind::Return, Host);
     return {"waiting-worker", 0, "the worker still refuses tasks"};
   }
   return {};
 }
 
-Hindrance HostSteps::waitForIdle(const HostName &Host,
-                                 const HostRecord &Record) {
-  const Instant Done =
-      Around.Orders.settledAt(orderId(Record.InHand.Id, HostOrderKind::Drain));
-  if (!Around.Observed.reportedSince(Host, Done, Around.Now)) {
+Blocker HostReconciler::ensureIdle(const HostName &Host,
+                                   const HostRecord &Record) {
+  const Instant CompletedAt = Context.Orders.completedAt(
+      orderId(Record.InHand.Id, HostOrderKind::Drain));
+  if (!Context.Observations.reportedSince(Host, CompletedAt, Context.Now)) {
     return {"waiting-worker", 0, "no fresh report of the worker"};
   }
-  const WorkerReport &Report = *Around.Observed.host(Host).Report;
+  const WorkerReport &Report = *Context.Observations.host(Host).Report;
   if (!Report.Draining) {
-    repair(HostOrderKind::Drain, Host);
+    reissueOrder(HostOrderKind::Drain, Host);
     return {"waiting-worker", 0, "the worker still takes tasks"};
   }
   if (!idle(Report)) {
     return {"waiting-worker", 0,
             fmt::format("{} slots in use", Report.SlotsInUse)};
   }
-  if (!Around.Observed.entriesActOn(Record.StateVersion, Around.Now)) {
-    const std::vector<EntryName> Behind =
-        Around.Observed.entriesBehind(Record.StateVersion);
+  if (!Context.Observations.entriesHaveReached(Record.StateVersion,
+                                               Context.Now)) {
+    const std::vector<EntryName> EntriesBehind =
+        Context.Observations.entriesBehind(Record.StateVersion);
     return {"waiting-entries", 0,
-            Behind.empty()
+            EntriesBehind.empty()
                 ? std::string("the entries' views are not fresh")
                 : fmt::format("{} entries act on an older ledger, first {}",
-                              Behind.size(), Behind.front().Text)};
+                              EntriesBehind.size(),
+                              EntriesBehind.front().Text)};
   }
   return {};
 }
 
-void HostSteps::repair(HostOrderKind Kind, const HostName &Host) {
-  // A new identifier: the platform takes a known one for a repetition. It
-  // changes only after the last repair was answered and reported on.
-  const HostFacts &Known = Around.Observed.host(Host);
-  const std::string Id = fmt::format(
-      "{}-repair-{}-{}-{}/{}", Around.Self, Host.Text, Known.StateVersion,
-      Known.ReportAt.time_since_epoch().count(), orderCode(Kind));
-  Around.Orders.settle({Kind, Host, Id, {}}, Around.Now, Around.NewTicket(),
-                       Around.Out);
+void HostReconciler::reissueOrder(HostOrderKind Kind, const HostName &Host) {
+  // Uses a new identifier, because the platform ignores an order whose
+  // identifier it knows. Each report that still shows the wrong state gives a
+  // new one.
+  const HostObservation &Observation = Context.Observations.host(Host);
+  const std::string OrderId = fmt::format(
+      "{}-repair-{}-{}-{}/{}", Context.ControllerId, Host.Text,
+      Observation.StateVersion,
+      Observation.ReportedAt.time_since_epoch().count(), orderCode(Kind));
+  Context.Orders.ensureCompleted({Kind, Host, OrderId, {}}, Context.Now,
+                                 Context.NewTicket(), Context.Actions);
 }
 
-void HostSteps::finish(const HostName &Host, HostChange Change,
-                       const char *Reason) {
-  const HostRecord Before = *Next.find(Host);
-  if (!Next.change(Host, Change).ok()) {
+void HostReconciler::applyChange(const HostName &Host, HostChange Change,
+                                 const char *Reason) {
+  const HostRecord Previous = *NextLedger.find(Host);
+  if (!NextLedger.change(Host, Change).ok()) {
     return;
   }
-  Next.note(Host, Reason, 0,
-            {{"pool", Before.Pool.Text},
-             {"from", stateCode(Before.State)},
-             {"to", stateCode(Next.find(Host)->State)},
-             {"operation", Before.InHand.Id},
-             {"cause", Before.InHand.Cause}});
+  NextLedger.addLogLine(Host, Reason, 0,
+                        {{"pool", Previous.Pool.Text},
+                         {"from", stateCode(Previous.State)},
+                         {"to", stateCode(NextLedger.find(Host)->State)},
+                         {"operation", Previous.InHand.Id},
+                         {"cause", Previous.InHand.Cause}});
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/HostReconciler.h
+++ b/Source/Fleet/HostReconciler.h
@@ -1,6 +1,6 @@
 /// \file
-/// Carries each operation in hand one step further: gives the platform's
-/// orders, waits for the confirmations, and drafts the next state.
+/// Reconciles each host with its operation in the ledger: sends the platform's
+/// orders, waits for confirmations, and drafts the next state.
 
 #ifndef BALSAMLATCH_FLEET_HOSTRECONCILER_H
 #define BALSAMLATCH_FLEET_HOSTRECONCILER_H
@@ -15,64 +15,73 @@
 
 namespace balsamlatch::fleet {
 
-/// One round over the hosts. Orders follow the ledger as it is written, never
-/// the draft: intent comes first.
-class HostSteps {
+/// One reconciliation pass over the hosts. Orders are sent only for what a
+/// written ledger version says, never for a draft, so that an order's intent is
+/// always stored before it is carried out.
+class HostReconciler {
 public:
-  /// A host that does not come back from a reboot in this time is lost.
-  static constexpr Duration ReturnWait = std::chrono::minutes(15);
-  static constexpr Duration Probation = std::chrono::seconds(20);
+  /// A host that isn't back from its reboot after this time is recorded as
+  /// lost.
+  static constexpr Duration RebootTimeout = std::chrono::minutes(15);
+  static constexpr Duration ProbationPeriod = std::chrono::seconds(20);
 
-  struct Context {
-    /// Names this controller in the identifiers of its repairs.
-    const std::string &Self;
-    Facts &Observed;
-    OrderBook &Orders;
+  struct ReconcileContext {
+    /// Prefix of the identifiers of reissued orders.
+    const std::string &ControllerId;
+    FleetObservations &Observations;
+    OrderTracker &Orders;
     Instant Now;
     WallTime Wall;
     std::function<Ticket()> NewTicket;
-    std::vector<FleetAction> &Out;
+    std::vector<FleetAction> &Actions;
   };
 
-  HostSteps(Draft &Drafted, Context Surroundings)
-      : Next(Drafted), Around(std::move(Surroundings)) {}
+  HostReconciler(Draft &TargetDraft, ReconcileContext InitialContext)
+      : NextLedger(TargetDraft), Context(std::move(InitialContext)) {}
 
-  /// Steps one host. Returns why it waits; an empty reason: it does not.
-  Hindrance step(const HostName &Host);
+  /// Advances one host by at most one state. Returns what it is waiting for;
+  /// the reason is empty if it isn't waiting.
+  Blocker reconcile(const HostName &Host);
 
 private:
-  Hindrance stepLeaving(const HostName &Host, const HostRecord &Record);
-  Hindrance stepDrained(const HostName &Host, const HostRecord &Record);
-  Hindrance stepMaintenance(const HostName &Host, const HostRecord &Record);
-  Hindrance stepProbation(const HostName &Host);
-  Hindrance stepFailed(const HostName &Host, const HostRecord &Record);
-  Hindrance stepInService(const HostName &Host);
-  Hindrance stepMove(const HostName &Host, const HostRecord &Record);
-  Hindrance recall(const HostName &Host, const HostRecord &Record);
+  Blocker reconcileLeaving(const HostName &Host, const HostRecord &Record);
+  Blocker reconcileDrained(const HostName &Host, const HostRecord &Record);
+  Blocker reconcileMaintenance(const HostName &Host, const HostRecord &Record);
+  Blocker reconcileProbation(const HostName &Host);
+  Blocker reconcileFailed(const HostName &Host, const HostRecord &Record);
+  Blocker reconcileInService(const HostName &Host);
+  Blocker reconcileMove(const HostName &Host, const HostRecord &Record);
+  Blocker recall(const HostName &Host, const HostRecord &Record);
 
-  /// Whether the platform has carried out the order of the operation in hand.
-  bool ordered(HostOrderKind Kind, const HostName &Host, const Operation &Hand);
-  /// Whether the platform has the host in the pool.
-  bool assigned(const HostName &Host, const Operation &Hand,
-                const PoolName &Pool);
-  /// Gives the pool's place of the host that was replaced.
-  void endReplacement(const HostRecord &Healthy);
-  Hindrance waitForOrder(HostOrderKind Kind, const HostName &Host,
-                         const Operation &Hand) const;
-  /// Gives Return and waits until the worker says that it accepts tasks.
-  Hindrance waitForReturn(const HostName &Host, const Operation &Hand);
-  /// Why the host is not surely idle and out of use; empty: it is.
-  Hindrance waitForIdle(const HostName &Host, const HostRecord &Record);
-  /// Repeats an order that the worker's report shows undone.
-  void repair(HostOrderKind Kind, const HostName &Host);
-  void finish(const HostName &Host, HostChange Change, const char *Reason);
+  /// Sends the order until the platform has carried it out; returns whether it
+  /// has.
+  bool ensureOrder(HostOrderKind Kind, const HostName &Host,
+                   const Operation &Op);
+  /// Sends the assignment until the platform has the host in the pool; returns
+  /// whether it has.
+  bool ensureAssigned(const HostName &Host, const Operation &Op,
+                      const PoolName &Pool);
+  /// Moves the failed host that was replaced to the pool that its replacement
+  /// left.
+  void completeReplacement(const HostRecord &Replacement);
+  Blocker orderBlocker(HostOrderKind Kind, const HostName &Host,
+                       const Operation &Op) const;
+  /// Sends Return until the worker reports that it accepts tasks. The reason is
+  /// empty once it does.
+  Blocker ensureReturned(const HostName &Host, const Operation &Op);
+  /// Why the host isn't confirmed idle and unused by every entry; the reason is
+  /// empty if it is.
+  Blocker ensureIdle(const HostName &Host, const HostRecord &Record);
+  /// Sends an order again whose effect the worker's report doesn't show.
+  void reissueOrder(HostOrderKind Kind, const HostName &Host);
+  void applyChange(const HostName &Host, HostChange Change, const char *Reason);
 
-  Draft &Next;
-  Context Around;
+  Draft &NextLedger;
+  ReconcileContext Context;
 };
 
-/// The platform's identifier of one order of an operation.
-std::string orderId(const std::string &Operation, HostOrderKind Kind);
+/// Identifier under which the platform knows one order of an operation.
+std::string orderId(const std::string &OperationId, HostOrderKind Kind);
 
 } // namespace balsamlatch::fleet
 
--- a/Source/Fleet/HostRegistration.cpp
+++ b/Source/Fleet/HostRegistration.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Hosts that enter and leave the ledger.
+/// Adds hosts to the ledger and removes them.
 
 #include "HostRegistration.h"
 
@@ -9,13 +9,14 @@
 
 namespace {
 
-bool enrollable(const ListedHost &Listed, const RuleSet &Rules) {
+bool isRegistrable(const ListedHost &Listed, const RuleSet &Rules) {
   return Listed.Role == HostRole::Worker &&
          Listed.Presence == HostPresence::Live &&
          Rules.pool(Listed.Pool) != nullptr;
 }
 
-HostRecord recordOf(const ListedHost &Listed, HostState State, WallTime Wall) {
+HostRecord makeHostRecord(const ListedHost &Listed, HostState State,
+                          WallTime Wall) {
   HostRecord Record;
   Record.Pool = Listed.Pool;
   Record.State = State;
@@ -27,42 +28,47 @@
 
 } // namespace
 
-void enrolAll(Draft &Next, const HostListing &Listing, const RuleSet &Rules,
-              WallTime Wall) {
+void registerInitialHosts(Draft &NextLedger, const HostListing &Listing,
+                          const RuleSet &Rules, WallTime Wall) {
   for (const ListedHost &Listed : Listing.Hosts) {
-    if (enrollable(Listed, Rules)) {
-      Next.add(Listed.Host, recordOf(Listed, HostState::InService, Wall));
+    if (isRegistrable(Listed, Rules)) {
+      NextLedger.add(Listed.Host,
+                     makeHostRecord(Listed, HostState::InService, Wall));
     }
   }
-  if (Next.changed()) {
-    Next.note({}, "ledger-begun", 0, {{"hosts", Next.value().Hosts.size()}});
+  if (NextLedger.changed()) {
+    NextLedger.addLogLine({}, "ledger-begun", 0,
+                          {{"hosts", NextLedger.value().Hosts.size()}});
   }
 }
 
-void enrolChanges(Draft &Next, Facts &Observed, const RuleSet &Rules,
-                  Instant Now, WallTime Wall) {
-  const HostListing *Listing = Observed.listing();
+void registerHostChanges(Draft &NextLedger, FleetObservations &Observations,
+                         const RuleSet &Rules, Instant Now, WallTime Wall) {
+  const HostListing *Listing = Observations.listing();
   if (Listing == nullptr) {
     return;
   }
-  std::set<HostName> Names;
+  std::set<HostName> ListedHosts;
   for (const ListedHost &Listed : Listing->Hosts) {
-    Names.insert(Listed.Host);
-    if (Next.find(Listed.Host) == nullptr && enrollable(Listed, Rules)) {
-      Next.add(Listed.Host, recordOf(Listed, HostState::OnProbation, Wall));
-      Next.note(Listed.Host, "host-enrolled", 0, {{"pool", Listed.Pool.Text}});
+    ListedHosts.insert(Listed.Host);
+    if (NextLedger.find(Listed.Host) == nullptr &&
+        isRegistrable(Listed, Rules)) {
+      NextLedger.add(Listed.Host,
+                     makeHostRecord(Listed, HostState::OnProbation, Wall));
+      NextLedger.addLogLine(Listed.Host, "host-enrolled", 0,
+                            {{"pool", Listed.Pool.Text}});
     }
   }
-  std::vector<HostName> Gone;
-  for (const auto &[Host, Record] : Next.value().Hosts) {
-    if (Record.State == HostState::Failed && !Names.contains(Host) &&
-        Now - Observed.host(Host).StateSince > ForgetAfter) {
-      Gone.push_back(Host);
+  std::vector<HostName> RemovedHosts;
+  for (const auto &[Host, Record] : NextLedger.value().Hosts) {
+    if (Record.State == HostState::Failed && !ListedHosts.contains(Host) &&
+        Now - Observations.host(Host).StateSince > RemovalDelay) {
+      RemovedHosts.push_back(Host);
     }
   }
-  for (const HostName &Host : Gone) {
-    Next.remove(Host);
-    Next.note(Host, "host-forgotten", 0, {});
+  for (const HostName &Host : RemovedHosts) {
+    NextLedger.remove(Host);
+    NextLedger.addLogLine(Host, "host-forgotten", 0, {});
   }
 }
 
--- a/Source/Fleet/HostRegistration.h
+++ b/Source/Fleet/HostRegistration.h
@@ -1,6 +1,7 @@
 /// \file
-/// Keeps the ledger's hosts in step with the platform's listing: the first
-/// ledger, hosts that are new, hosts that are gone.
+/// Host registration: keeps the ledger's hosts in step with the platform's host
+/// list. Creates the first ledger, adds new hosts and removes failed hosts that
+/// are no longer listed.
 
 #ifndef BALSAMLATCH_FLEET_HOSTREGISTRATION_H
 #define BALSAMLATCH_FLEET_HOSTREGISTRATION_H
@@ -10,17 +11,18 @@
 
 namespace balsamlatch::fleet {
 
-/// A failed host that the platform no longer lists is forgotten after this.
-inline constexpr Duration ForgetAfter = std::chrono::minutes(10);
+/// A failed host that the platform no longer lists is removed this long after
+/// it failed.
+inline constexpr Duration RemovalDelay = std::chrono::minutes(10);
 
-/// Makes the first ledger's hosts of the listing, all in service.
-void enrolAll(Draft &Next, const HostListing &Listing, const RuleSet &Rules,
-              WallTime Wall);
+/// Creates the first ledger from the host list, with all hosts in service.
+void registerInitialHosts(Draft &NextLedger, const HostListing &Listing,
+                          const RuleSet &Rules, WallTime Wall);
 
-/// Adds the hosts that are new in the listing, on probation, and removes
-/// failed hosts that have long left it.
-void enrolChanges(Draft &Next, Facts &Observed, const RuleSet &Rules,
-                  Instant Now, WallTime Wall);
+/// Adds newly listed hosts, on probation, and removes hosts that failed more
+/// than RemovalDelay ago and are no longer listed.
+void registerHostChanges(Draft &NextLedger, FleetObservations &Observations,
+                         const RuleSet &Rules, Instant Now, WallTime Wall);
 
 } // namespace balsamlatch::fleet
 
--- a/Source/Fleet/LeaseHolder.cpp
+++ b/Source/Fleet/LeaseHolder.cpp
@@ -1,31 +1,33 @@
 /// \file
-/// Renewal of the controllers' lease.
+/// Requesting and renewal of the controller lease.
 
 #include "LeaseHolder.h"
 
 namespace balsamlatch::fleet {
 
-std::optional<LeaseAcquire> LeaseHolder::due(Instant Now, bool Candidate) {
-  if (SentAt && Now - *SentAt < ReplyWait) {
+std::optional<LeaseAcquire> LeaseHolder::nextRequest(Instant Now,
+                                                     bool IsCandidate) {
+  if (SentAt && Now - *SentAt < ReplyTimeout) {
     return std::nullopt;
   }
-  const Duration Period = Candidate || holds(Now) ? RenewPeriod : SeldomPeriod;
-  if (LastTry && Now < *LastTry + Period) {
+  const Duration Period =
+      IsCandidate || holds(Now) ? RenewPeriod : NonCandidatePeriod;
+  if (LastAttempt && Now < *LastAttempt + Period) {
     return std::nullopt;
   }
   SentAt = Now;
-  LastTry = Now;
+  LastAttempt = Now;
   return LeaseAcquire{Lease, Holder, TimeToLive};
 }
 
-void LeaseHolder::replied(const StoreReply &Reply) {
+void LeaseHolder::handleReply(const StoreReply &Reply) {
   if (!SentAt) {
     return;
   }
   if (Reply.Status.ok() && Reply.Entry.Value == Holder) {
-    Until = *SentAt + TimeToLive;
+    ValidUntil = *SentAt + TimeToLive;
   } else if (absl::IsAborted(Reply.Status)) {
-    Until = Instant{};
+    ValidUntil = Instant{};
   }
   SentAt.reset();
 }
--- a/Source/Fleet/LeaseHolder.h
+++ b/Source/Fleet/LeaseHolder.h
@@ -1,7 +1,8 @@
 /// \file
-/// The holder's side of the controllers' lease. The lease saves work and is no
-/// part of any promise: a holder that was paused finds by its own clock that
-/// the lease may have run out and stops planning until it is renewed.
+/// A controller's side of the controller lease. The lease avoids duplicate
+/// work; no guarantee depends on it. A holder that was paused sees by its own
+/// clock that the lease may have expired and stops planning until it is
+/// renewed.
 
 #ifndef BALSAMLATCH_FLEET_LEASEHOLDER_H
 #define BALSAMLATCH_FLEET_LEASEHOLDER_H
@@ -14,36 +15,38 @@
 
 namespace balsamlatch::fleet {
 
+/// Requests and renews one lease for one holder.
 class LeaseHolder {
 public:
   static constexpr Duration TimeToLive = std::chrono::seconds(6);
   static constexpr Duration RenewPeriod = TimeToLive / 3;
-  /// An entry that is no candidate tries this seldom, so that the lease is
+  /// Request period of entries that aren't candidates, so that the lease is
   /// taken even when no candidate reaches the store.
-  static constexpr Duration SeldomPeriod = std::chrono::seconds(30);
-  /// How long an unanswered request is waited for.
-  static constexpr Duration ReplyWait = std::chrono::seconds(4);
+  static constexpr Duration NonCandidatePeriod = std::chrono::seconds(30);
+  /// A reply that takes longer than this counts as lost.
+  static constexpr Duration ReplyTimeout = std::chrono::seconds(4);
 
   LeaseHolder(std::string LeaseName, std::string HolderName)
       : Lease(std::move(LeaseName)), Holder(std::move(HolderName)) {}
 
   /// The request that is due at \p Now, if any. Only candidates and the holder
-  /// ask every RenewPeriod, so that store calls don't grow with the entries.
-  std::optional<LeaseAcquire> due(Instant Now, bool Candidate);
+  /// ask every RenewPeriod, so that the number of store calls doesn't grow with
+  /// the number of entries.
+  std::optional<LeaseAcquire> nextRequest(Instant Now, bool IsCandidate);
 
-  void replied(const StoreReply &Reply);
+  void handleReply(const StoreReply &Reply);
 
-  /// Whether the lease surely holds: counted from the moment at which the
-  /// request that was granted was sent.
-  bool holds(Instant Now) const { return Now < Until; }
+  /// Whether the lease is certainly held: the time to live is counted from the
+  /// sending of the granted request.
+  bool holds(Instant Now) const { return Now < ValidUntil; }
 
 private:
   std::string Lease;
   std::string Holder;
   std::optional<Instant> SentAt;
-  std::optional<Instant> LastTry;
-  // Invariant: at most TimeToLive after a request that was granted was sent.
-  Instant Until{};
+  std::optional<Instant> LastAttempt;
+  // Invariant: at most TimeToLive after the last granted request was sent.
+  Instant ValidUntil{};
 };
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Ledger.cpp
+++ b/Source/Fleet/Ledger.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The ledger's names of states and its text form: JSON with one short array a
-/// host.
+/// State and operation names, and the ledger's text form: JSON with one short
+/// array per host.
 
 #include "balsamlatch/Fleet/Ledger.h"
 
@@ -18,21 +18,29 @@
                                    "in-maintenance", "on-probation", "failed"};
 constexpr std::array OperationCodes = {"none", "maintain", "drain", "move"};
 
-// Places in a host's array.
-enum HostField { Pool, State, Rack, Centre, Version, Maintained, Hand };
-
-std::int64_t secondsOf(WallTime Time) {
+// Indices of the fields in a host's array.
+enum HostField {
+  Pool,
+  State,
+  Rack,
+  Centre,
+  Version,
+  Maintained,
+  OperationInProgress
+};
+
+std::int64_t toSeconds(WallTime Time) {
   return std::chrono::duration_cast<std::chrono::seconds>(
              Time.time_since_epoch())
       .count();
 }
 
-WallTime timeOf(const json::value &Seconds) {
+WallTime toWallTime(const json::value &Seconds) {
   return WallTime(std::chrono::seconds(Seconds.to_number<std::int64_t>()));
 }
 
 template <typename Enum, std::size_t Count>
-Enum enumOf(const json::value &Code, const std::array<const char *, Count> &) {
+Enum toEnum(const json::value &Code, const std::array<const char *, Count> &) {
   const auto Value = Code.to_number<std::size_t>();
   if (Value >= Count) {
     throw std::out_of_range("unknown code");
@@ -40,38 +48,38 @@
   return static_cast<Enum>(Value);
 }
 
-std::string textOf(const json::value &Text) {
+std::string toText(const json::value &Text) {
   return std::string(Text.as_string());
 }
 
-json::array encodeOperation(const Operation &Hand) {
-  return {static_cast<int>(Hand.Kind),
-          Hand.Id,
-          Hand.Target.Text,
-          Hand.Cause,
-          secondsOf(Hand.Since),
-          Hand.BootBefore,
-          Hand.Cancelled ? 1 : 0,
-          Hand.Replaces.Text};
+json::array encodeOperation(const Operation &Op) {
+  return {static_cast<int>(Op.Kind),
+          Op.Id,
+          Op.Target.Text,
+          Op.Cause,
+          toSeconds(Op.Since),
+          Op.PreRebootBootCount,
+          Op.Cancelled ? 1 : 0,
+          Op.Replaces.Text};
 }
 
 Operation decodeOperation(const json::array &Fields) {
-  Operation Hand;
-  Hand.Kind = enumOf<OperationKind>(Fields.at(0), OperationCodes);
-  Hand.Id = textOf(Fields.at(1));
-  Hand.Target = PoolName(textOf(Fields.at(2)));
-  Hand.Cause = textOf(Fields.at(3));
-  Hand.Since = timeOf(Fields.at(4));
-  Hand.BootBefore = Fields.at(5).to_number<std::uint64_t>();
-  Hand.Cancelled = Fields.at(6).to_number<int>() != 0;
-  Hand.Replaces = HostName(textOf(Fields.at(7)));
-  return Hand;
+  Operation Op;
+  Op.Kind = toEnum<OperationKind>(Fields.at(0), OperationCodes);
+  Op.Id = toText(Fields.at(1));
+  Op.Target = PoolName(toText(Fields.at(2)));
+  Op.Cause = toText(Fields.at(3));
+  Op.Since = toWallTime(Fields.at(4));
+  Op.PreRebootBootCount = Fields.at(5).to_number<std::uint64_t>();
+  Op.Cancelled = Fields.at(6).to_number<int>() != 0;
+  Op.Replaces = HostName(toText(Fields.at(7)));
+  return Op;
 }
 
 json::array encodeHost(const HostRecord &Host) {
   json::array Fields = {Host.Pool.Text,    static_cast<int>(Host.State),
                         Host.Rack.Text,    Host.DataCentre.Text,
-                        Host.StateVersion, secondsOf(Host.LastMaintained)};
+                        Host.StateVersion, toSeconds(Host.LastMaintained)};
   if (Host.InHand != Operation()) {
     Fields.push_back(encodeOperation(Host.InHand));
   }
@@ -80,35 +88,36 @@
 
 HostRecord decodeHost(const json::array &Fields) {
   HostRecord Host;
-  Host.Pool = PoolName(textOf(Fields.at(HostField::Pool)));
-  Host.State = enumOf<HostState>(Fields.at(HostField::State), StateCodes);
-  Host.Rack = RackName(textOf(Fields.at(HostField::Rack)));
-  Host.DataCentre = DataCentreName(textOf(Fields.at(HostField::Centre)));
+  Host.Pool = PoolName(toText(Fields.at(HostField::Pool)));
+  Host.State = toEnum<HostState>(Fields.at(HostField::State), StateCodes);
+  Host.Rack = RackName(toText(Fields.at(HostField::Rack)));
+  Host.DataCentre = DataCentreName(toText(Fields.at(HostField::Centre)));
   Host.StateVersion = Fields.at(HostField::Version).to_number<std::uint64_t>();
-  Host.LastMaintained = timeOf(Fields.at(HostField::Maintained));
-  if (Fields.size() > HostField::Hand) {
-    Host.InHand = decodeOperation(Fields.at(HostField::Hand).as_array());
+  Host.LastMaintained = toWallTime(Fields.at(HostField::Maintained));
+  if (Fields.size() > HostField::OperationInProgress) {
+    Host.InHand =
+        decodeOperation(Fields.at(HostField::OperationInProgress).as_array());
   }
   return Host;
 }
 
 WaveRecord decodeWave(const json::array &Fields) {
   WaveRecord Wave;
-  Wave.Size = Fields.at(0).to_number<std::uint32_t>();
-  Wave.Started = Fields.at(1).to_number<std::uint32_t>();
-  Wave.Lost = Fields.at(2).to_number<std::uint32_t>();
-  Wave.Stopped = textOf(Fields.at(3));
+  Wave.DueHosts = Fields.at(0).to_number<std::uint32_t>();
+  Wave.StartedHosts = Fields.at(1).to_number<std::uint32_t>();
+  Wave.LostHosts = Fields.at(2).to_number<std::uint32_t>();
+  Wave.StopReason = toText(Fields.at(3));
   return Wave;
 }
 
-Ledger decodeChecked(std::string_view Text) {
+Ledger decodeOrThrow(std::string_view Text) {
   const json::value Parsed = json::parse(Text);
-  const json::object &Whole = Parsed.as_object();
+  const json::object &Root = Parsed.as_object();
   Ledger Value;
-  Value.HaltedBy = textOf(Whole.at("halt"));
-  Value.WriterToken = textOf(Whole.at("writer"));
-  Value.Wave = decodeWave(Whole.at("wave").as_array());
-  for (const auto &Item : Whole.at("hosts").as_object()) {
+  Value.HaltedBy = toText(Root.at("halt"));
+  Value.WriterToken = toText(Root.at("writer"));
+  Value.Wave = decodeWave(Root.at("wave").as_array());
+  for (const auto &Item : Root.at("hosts").as_object()) {
     Value.Hosts.emplace(HostName(std::string(Item.key())),
                         decodeHost(Item.value().as_array()));
   }
@@ -138,20 +147,21 @@
     Hosts.emplace(Host.Text, encodeHost(Record));
   }
   const WaveRecord &Wave = Value.Wave;
-  json::object Whole;
-  Whole["writer"] = Value.WriterToken;
-  Whole["halt"] = Value.HaltedBy;
-  Whole["wave"] = json::array{Wave.Size, Wave.Started, Wave.Lost, Wave.Stopped};
-  Whole["hosts"] = std::move(Hosts);
-  return json::serialize(Whole);
+  json::object Root;
+  Root["writer"] = Value.WriterToken;
+  Root["halt"] = Value.HaltedBy;
+  Root["wave"] = json::array{Wave.DueHosts, Wave.StartedHosts, Wave.LostHosts,
+                             Wave.StopReason};
+  Root["hosts"] = std::move(Hosts);
+  return json::serialize(Root);
 }
 
 absl::StatusOr<Ledger> decodeLedger(std::string_view Text) {
   try {
-    return decodeChecked(Text);
-  } catch (const std::exception &Fault) {
+    return decodeOrThrow(Text);
+  } catch (const std::exception &Error) {
     return absl::InvalidArgumentError(std::string("not a ledger: ") +
-                                      Fault.what());
+                                      Error.what());
   }
 }
 
--- a/Source/Fleet/LedgerWriter.cpp
+++ b/Source/Fleet/LedgerWriter.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Compare-and-swap of the ledger and the settling of lost answers.
+/// Compare-and-swap of the ledger, and recovery from lost replies.
 
 #include "LedgerWriter.h"
 
@@ -8,76 +8,78 @@
 namespace balsamlatch::fleet {
 
 bool LedgerWriter::ready(Instant Now) const {
-  return !SentAt && Now >= NotBefore;
+  return !SentAt && Now >= NextRequestTime;
 }
 
-StoreSwap LedgerWriter::swap(Ledger Next, std::uint64_t Expected, Instant Now) {
-  Token = Prefix + "-" + std::to_string(++Count);
-  Next.WriterToken = Token;
-  ExpectedVersion = Expected;
+StoreSwap LedgerWriter::makeSwap(Ledger NextLedger, std::uint64_t BaseVersion,
+                                 Instant Now) {
+  Token = Prefix + "-" + std::to_string(++SwapCount);
+  NextLedger.WriterToken = Token;
+  ExpectedVersion = BaseVersion;
   SentAt = Now;
   SwapInFlight = true;
-  return StoreSwap{Key, Expected, encodeLedger(Next)};
+  return StoreSwap{Key, BaseVersion, encodeLedger(NextLedger)};
 }
 
-StoreRead LedgerWriter::read(Instant Now) {
+StoreRead LedgerWriter::makeRead(Instant Now) {
   SentAt = Now;
   SwapInFlight = false;
   return StoreRead{Key};
 }
 
-LedgerWriter::Outcome LedgerWriter::swapReplied(const StoreReply &Reply,
-                                                Instant Now) {
+LedgerWriter::Outcome LedgerWriter::handleSwapReply(const StoreReply &Reply,
+                                                    Instant Now) {
   SentAt.reset();
   if (Reply.Status.ok()) {
-    Pause = ShortestPause;
+    RetryDelay = MinRetryDelay;
     return Outcome::Written;
   }
   if (absl::IsAborted(Reply.Status)) {
-    Pause = ShortestPause;
+    RetryDelay = MinRetryDelay;
     return Outcome::Conflict;
   }
-  pause(Now);
+  backOff(Now);
   if (absl::IsUnavailable(Reply.Status)) {
     return Outcome::NotWritten;
   }
-  Unsettled = true;
-  return Outcome::Unsettled;
+  OutcomeUnknown = true;
+  return Outcome::Unknown;
 }
 
-LedgerWriter::Outcome LedgerWriter::readReplied(const StoreReply &Reply,
-                                                Instant Now) {
+LedgerWriter::Outcome LedgerWriter::handleReadReply(const StoreReply &Reply,
+                                                    Instant Now) {
   SentAt.reset();
   if (!Reply.Status.ok()) {
-    pause(Now);
-    return Unsettled ? Outcome::Unsettled : Outcome::NotWritten;
+    backOff(Now);
+    return OutcomeUnknown ? Outcome::Unknown : Outcome::NotWritten;
   }
-  Pause = ShortestPause;
-  const bool WasUnsettled = Unsettled;
-  Unsettled = false;
-  // A write that is still on its way loses against the next swap, or wins and
-  // makes that one a conflict: both expect the same version.
-  if (!WasUnsettled || Reply.Entry.Version == ExpectedVersion) {
+  RetryDelay = MinRetryDelay;
+  const bool WasUnknown = OutcomeUnknown;
+  OutcomeUnknown = false;
+  // A write that is still in transit either loses against the next swap or
+  // makes that one a conflict, because both expect the same version.
+  if (!WasUnknown || Reply.Entry.Version == ExpectedVersion) {
     return Outcome::NotWritten;
   }
-  const absl::StatusOr<Ledger> Present = decodeLedger(Reply.Entry.Value);
-  return Present.ok() && Present->WriterToken == Token ? Outcome::Written
-                                                       : Outcome::Conflict;
+  const absl::StatusOr<Ledger> StoredLedger = decodeLedger(Reply.Entry.Value);
+  return StoredLedger.ok() && StoredLedger->WriterToken == Token
+             ? Outcome::Written
+             : Outcome::Conflict;
 }
 
 bool LedgerWriter::expire(Instant Now) {
-  if (!SentAt || Now - *SentAt < ReplyWait) {
+  if (!SentAt || Now - *SentAt < ReplyTimeout) {
     return false;
   }
   SentAt.reset();
-  Unsettled = Unsettled || SwapInFlight;
-  pause(Now);
+  OutcomeUnknown = OutcomeUnknown || SwapInFlight;
+  backOff(Now);
   return true;
 }
 
-void LedgerWriter::pause(Instant Now) {
-  NotBefore = Now + Pause;
-  Pause = std::min(Pause * 2, LongestPause);
+void LedgerWriter::backOff(Instant Now) {
+  NextRequestTime = Now + RetryDelay;
+  RetryDelay = std::min(RetryDelay * 2, MaxRetryDelay);
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/LedgerWriter.h
+++ b/Source/Fleet/LedgerWriter.h
@@ -1,6 +1,7 @@
 /// \file
-/// Writes the ledger: one compare-and-swap in flight, and a lost answer is
-/// settled by reading back and looking for the writer's token.
+/// Writes the ledger with at most one request in flight. If the reply to a
+/// write is lost, the ledger is read back and the writer's token in it shows
+/// whether the write took effect.
 
 #ifndef BALSAMLATCH_FLEET_LEDGERWRITER_H
 #define BALSAMLATCH_FLEET_LEDGERWRITER_H
@@ -14,8 +15,8 @@
 
 namespace balsamlatch::fleet {
 
-/// Not thread safe. Takes replies in any order; those that don't belong to the
-/// request in flight are the caller's to drop.
+/// Not thread safe. The caller drops replies that don't belong to the request
+/// in flight.
 class LedgerWriter {
 public:
   enum class Outcome {
@@ -23,58 +24,60 @@
     Written,
     /// Another writer was first; nothing was written.
     Conflict,
-    /// The store did not take the request; nothing was written.
+    /// The store rejected the request; nothing was written.
     NotWritten,
-    /// No answer: read back before anything else is written.
-    Unsettled
+    /// No reply: the ledger must be read before the next write.
+    Unknown
   };
 
-  /// Pause after a fault of the store, doubled up to the longest.
-  static constexpr Duration ShortestPause = std::chrono::milliseconds(250);
-  static constexpr Duration LongestPause = std::chrono::seconds(4);
-  /// After this long without a reply the answer counts as lost.
-  static constexpr Duration ReplyWait = std::chrono::seconds(5);
+  /// Delay after a store error, doubled with each further error up to the
+  /// maximum.
+  static constexpr Duration MinRetryDelay = std::chrono::milliseconds(250);
+  static constexpr Duration MaxRetryDelay = std::chrono::seconds(4);
+  /// A reply that takes longer than this counts as lost.
+  static constexpr Duration ReplyTimeout = std::chrono::seconds(5);
 
   LedgerWriter(std::string StoreKey, std::string TokenPrefix)
       : Key(std::move(StoreKey)), Prefix(std::move(TokenPrefix)) {}
 
-  /// Whether a new request may be made now.
+  /// Whether a request may be sent now.
   bool ready(Instant Now) const;
   /// The token of the last write.
   const std::string &token() const { return Token; }
-  bool unsettled() const { return Unsettled; }
+  bool outcomeUnknown() const { return OutcomeUnknown; }
   /// Whether the request in flight is a write.
-  bool swapping() const { return SentAt && SwapInFlight; }
+  bool swapInFlight() const { return SentAt && SwapInFlight; }
 
-  /// Makes the write of \p Next over \p Expected, with a new token.
-  StoreSwap swap(Ledger Next, std::uint64_t Expected, Instant Now);
+  /// Returns the write of \p NextLedger over \p BaseVersion, with a new token.
+  StoreSwap makeSwap(Ledger NextLedger, std::uint64_t BaseVersion, Instant Now);
 
-  /// Makes the read that settles a lost answer or learns the ledger.
-  StoreRead read(Instant Now);
+  /// Returns the read that settles an unknown outcome or fetches the ledger.
+  StoreRead makeRead(Instant Now);
 
-  Outcome swapReplied(const StoreReply &Reply, Instant Now);
+  Outcome handleSwapReply(const StoreReply &Reply, Instant Now);
 
-  /// Written or Conflict once the read settles what was unsettled; NotWritten
-  /// when the ledger is still at the expected version.
-  Outcome readReplied(const StoreReply &Reply, Instant Now);
+  /// Written or Conflict if the read settles an unknown outcome; NotWritten if
+  /// the ledger is still at the expected version or no outcome was unknown.
+  Outcome handleReadReply(const StoreReply &Reply, Instant Now);
 
-  /// Gives up on a request that got no reply at all. Returns whether it did.
+  /// Gives up on a request whose ReplyTimeout has passed. Returns whether it
+  /// did.
   bool expire(Instant Now);
 
 private:
-  void pause(Instant Now);
+  void backOff(Instant Now);
 
   std::string Key;
   std::string Prefix;
-  std::uint64_t Count = 0;
+  std::uint64_t SwapCount = 0;
   // Invariant: at most one request in flight.
   std::optional<Instant> SentAt;
   bool SwapInFlight = false;
-  bool Unsettled = false;
+  bool OutcomeUnknown = false;
   std::string Token;
   std::uint64_t ExpectedVersion = 0;
-  Instant NotBefore{};
-  Duration Pause = ShortestPause;
+  Instant NextRequestTime{};
+  Duration RetryDelay = MinRetryDelay;
 };
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/MovePlanner.cpp
+++ b/Source/Fleet/MovePlanner.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Moves for lasting demand.
+/// High and low demand of the pools, and the moves that follow.
 
 #include "MovePlanner.h"
 
@@ -12,32 +12,35 @@
 
 namespace {
 
-constexpr Duration BaseHold = std::chrono::minutes(10);
-constexpr double LeastHoldFactor = 0.5;
-constexpr double MostHoldFactor = 4;
-/// Share of a pool's slots that lasting demand may take before it is high.
-constexpr double HighShare = 0.8;
-/// Share of the slots of one host less below which it is low.
-constexpr double LowShare = 0.6;
-
-/// Hosts of the pool once the moves in hand are done, lost ones left out.
-std::uint32_t futureMembers(const Ledger &Value, const PoolName &Pool) {
-  return static_cast<std::uint32_t>(
-      std::count_if(Value.Hosts.begin(), Value.Hosts.end(), [&](auto &Item) {
+constexpr Duration BaseDemandDuration = std::chrono::minutes(10);
+constexpr double MinDurationFactor = 0.5;
+constexpr double MaxDurationFactor = 4;
+/// Demand above this share of a pool's slots is high.
+constexpr double HighDemandShare = 0.8;
+/// Demand below this share of the slots that the pool would have with one host
+/// fewer is low.
+constexpr double LowDemandShare = 0.6;
+
+/// Hosts of the pool after the current moves, without failed hosts.
+std::uint32_t countFutureMembers(const Ledger &CurrentLedger,
+                                 const PoolName &Pool) {
+  return static_cast<std::uint32_t>(std::count_if(
+      CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(), [&](auto &Item) {
         const HostRecord &Record = Item.second;
-        const bool Moves = Record.InHand.Kind == OperationKind::Move &&
-                           !Record.InHand.Cancelled;
+        const bool IsMoving = Record.InHand.Kind == OperationKind::Move &&
+                              !Record.InHand.Cancelled;
         return Record.State != HostState::Failed &&
-               (Moves ? Record.InHand.Target : Record.Pool) == Pool;
+               (IsMoving ? Record.InHand.Target : Record.Pool) == Pool;
       }));
 }
 
-bool moveInHand(const Ledger &Value) {
-  return std::any_of(
-      Value.Hosts.begin(), Value.Hosts.end(), [](const auto &Item) {
-        return Item.second.InHand.Kind == OperationKind::Move &&
-               Item.second.away() && Item.second.State != HostState::Failed;
-      });
+bool moveInProgress(const Ledger &CurrentLedger) {
+  return std::any_of(CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(),
+                     [](const auto &Item) {
+                       return Item.second.InHand.Kind == OperationKind::Move &&
+                              Item.second.away() &&
+                              Item.second.State != HostState::Failed;
+                     });
 }
 
 const PoolRule *sparePool(const RuleSet &Rules) {
@@ -49,21 +52,24 @@
   return nullptr;
 }
 
-bool beginMove(Draft &Next, const MovePlanner::Surroundings &Around,
-               const PoolRule &From, const PoolRule &To, const char *Why) {
-  const HostsNeeded None;
-  for (const auto &[Host, Record] : Ledger(Next.value()).Hosts) {
-    if (Record.Pool != From.Pool || Record.State != HostState::InService) {
+bool beginMove(Draft &NextLedger, const MovePlanner::PlanInputs &Inputs,
+               const PoolRule &SourceRule, const PoolRule &TargetRule,
+               const char *Cause) {
+  const RequiredHostCounts NoRequiredHosts;
+  for (const auto &[Host, Record] : Ledger(NextLedger.value()).Hosts) {
+    if (Record.Pool != SourceRule.Pool ||
+        Record.State != HostState::InService) {
       continue;
     }
-    Operation Hand;
-    Hand.Kind = OperationKind::Move;
-    Hand.Id =
-        fmt::format("{}-m{}-{}", Around.Prefix, Next.baseVersion(), Host.Text);
-    Hand.Target = To.Pool;
-    Hand.Cause = Why;
-    Hand.Since = Around.Wall;
-    if (beginOperation(Next, Around.Rules, None, Host, Hand).ok()) {
+    Operation Op;
+    Op.Kind = OperationKind::Move;
+    Op.Id = fmt::format("{}-m{}-{}", Inputs.IdPrefix, NextLedger.baseVersion(),
+                        Host.Text);
+    Op.Target = TargetRule.Pool;
+    Op.Cause = Cause;
+    Op.Since = Inputs.Wall;
+    if (beginOperation(NextLedger, Inputs.Rules, NoRequiredHosts, Host, Op)
+            .ok()) {
       return true;
     }
   }
@@ -72,75 +78,81 @@
 
 } // namespace
 
-Duration moveHold(const WeightRule &Weights) {
+Duration requiredDemandDuration(const WeightRule &Weights) {
   const double Ratio =
       static_cast<double>(Weights.Moves) / std::max(Weights.Buffer, 1u);
-  const double Factor = std::clamp(Ratio, LeastHoldFactor, MostHoldFactor);
-  return std::chrono::duration_cast<Duration>(BaseHold * Factor);
+  const double Factor = std::clamp(Ratio, MinDurationFactor, MaxDurationFactor);
+  return std::chrono::duration_cast<Duration>(BaseDemandDuration * Factor);
 }
 
-std::uint32_t moveFloor(const PoolRule &Pool, const WeightRule &Weights,
-                        std::uint32_t NeededHosts) {
+std::uint32_t minPoolHosts(const PoolRule &Pool, const WeightRule &Weights,
+                           std::uint32_t RequiredHosts) {
   if (Weights.Moves >= Weights.Buffer) {
     return Pool.Hosts;
   }
-  // A pool of one host could never let it be maintained.
-  constexpr std::uint32_t LeastHosts = 2;
-  return std::clamp(NeededHosts, std::min(LeastHosts, Pool.Hosts),
-                    std::max(LeastHosts, Pool.Hosts));
+  // A pool with one host could never release it for maintenance.
+  constexpr std::uint32_t MinHosts = 2;
+  return std::clamp(RequiredHosts, std::min(MinHosts, Pool.Hosts),
+                    std::max(MinHosts, Pool.Hosts));
 }
 
-void MovePlanner::follow(const Ledger &Value, const PoolRule &Pool,
-                         const Surroundings &Around) {
-  Watch &Seen = Watches[Pool.Pool];
-  const std::uint32_t Members = futureMembers(Value, Pool.Pool);
-  const double Slots = Around.Demand.lastingSlots(Pool.Pool);
-  const HostsNeeded Needed = Around.Demand.hostsNeeded(Around.SlotsPerHost);
-  const auto Need = Needed.find(Pool.Pool);
-  const std::uint32_t Floor = moveFloor(
-      Pool, Around.Rules.Weights, Need == Needed.end() ? 0 : Need->second);
-  const double Capacity = static_cast<double>(Members) * Around.SlotsPerHost;
-  const bool High = Slots > Capacity * HighShare || Members < Floor;
-  const bool Low =
-      Members > Floor && Slots < (Capacity - Around.SlotsPerHost) * LowShare;
-  const auto Mark = [&](std::optional<Instant> &Since, bool Holds) {
-    if (!Holds) {
-      Since.reset();
-    } else if (!Since) {
-      Since = Around.Now;
+void MovePlanner::updateDemandState(const Ledger &CurrentLedger,
+                                    const PoolRule &Pool,
+                                    const PlanInputs &Inputs) {
+  DemandState &State = DemandStates[Pool.Pool];
+  const std::uint32_t Members = countFutureMembers(CurrentLedger, Pool.Pool);
+  const double Slots = Inputs.Demand.lastingSlots(Pool.Pool);
+  const RequiredHostCounts RequiredHosts =
+      Inputs.Demand.requiredHosts(Inputs.SlotsPerHost);
+  const auto RequiredCount = RequiredHosts.find(Pool.Pool);
+  const std::uint32_t MinMembers = minPoolHosts(
+      Pool, Inputs.Rules.Weights,
+      RequiredCount == RequiredHosts.end() ? 0 : RequiredCount->second);
+  const double Capacity = static_cast<double>(Members) * Inputs.SlotsPerHost;
+  const bool IsHigh =
+      Slots > Capacity * HighDemandShare || Members < MinMembers;
+  const bool IsLow = Members > MinMembers &&
+                     Slots < (Capacity - Inputs.SlotsPerHost) * LowDemandShare;
+  const auto UpdateStart = [&](std::optional<Instant> &Start, bool IsActive) {
+    if (!IsActive) {
+      Start.reset();
+    } else if (!Start) {
+      Start = Inputs.Now;
     }
   };
-  Mark(Seen.HighSince, High);
-  Mark(Seen.LowSince, Low);
+  UpdateStart(State.HighSince, IsHigh);
+  UpdateStart(State.LowSince, IsLow);
 }
 
-void MovePlanner::plan(Draft &Next, const Surroundings &Around) {
-  const PoolRule *Spare = sparePool(Around.Rules);
-  if (Spare == nullptr || !Around.Demand.warm(Around.Now)) {
+void MovePlanner::plan(Draft &NextLedger, const PlanInputs &Inputs) {
+  const PoolRule *SpareRule = sparePool(Inputs.Rules);
+  if (SpareRule == nullptr || !Inputs.Demand.warmedUp(Inputs.Now)) {
     return;
   }
-  const bool Busy = moveInHand(Next.value()) || !Next.value().HaltedBy.empty();
-  const Duration Hold = moveHold(Around.Rules.Weights);
-  const auto Held = [&](const std::optional<Instant> &Since) {
-    return Since && Around.Now - *Since >= Hold;
+  const bool MovesBlocked = moveInProgress(NextLedger.value()) ||
+                            !NextLedger.value().HaltedBy.empty();
+  const Duration RequiredDuration =
+      requiredDemandDuration(Inputs.Rules.Weights);
+  const auto HasLasted = [&](const std::optional<Instant> &Start) {
+    return Start && Inputs.Now - *Start >= RequiredDuration;
   };
-  for (const auto &[Name, Pool] : Around.Rules.Pools) {
+  for (const auto &[Name, Pool] : Inputs.Rules.Pools) {
     if (Pool.Spare) {
       continue;
     }
-    follow(Next.value(), Pool, Around);
-    if (Busy) {
+    updateDemandState(NextLedger.value(), Pool, Inputs);
+    if (MovesBlocked) {
       continue;
     }
-    Watch &Seen = Watches[Name];
-    if (Held(Seen.HighSince) &&
-        beginMove(Next, Around, *Spare, Pool, "lasting demand")) {
-      Seen.HighSince.reset();
+    DemandState &State = DemandStates[Name];
+    if (HasLasted(State.HighSince) &&
+        beginMove(NextLedger, Inputs, *SpareRule, Pool, "lasting demand")) {
+      State.HighSince.reset();
       return;
     }
-    if (Held(Seen.LowSince) &&
-        beginMove(Next, Around, Pool, *Spare, "demand has ended")) {
-      Seen.LowSince.reset();
+    if (HasLasted(State.LowSince) &&
+        beginMove(NextLedger, Inputs, Pool, *SpareRule, "demand has ended")) {
+      State.LowSince.reset();
       return;
     }
   }
--- a/Source/Fleet/Operations.cpp
+++ b/Source/Fleet/Operations.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Changes to the ledger that several planners make.
+/// Ledger changes that several planners share.
 
 #include "Operations.h"
 
@@ -7,69 +7,73 @@
 
 namespace balsamlatch::fleet {
 
-std::string describe(const std::vector<Hindrance> &Why) {
+std::string describeBlockers(const std::vector<Blocker> &Blockers) {
   std::string Text;
-  for (const Hindrance &One : Why) {
+  for (const Blocker &CurrentBlocker : Blockers) {
     Text += Text.empty() ? "" : "; ";
-    Text += One.Text;
-    if (One.RuleLine != 0) {
-      Text += fmt::format(" (rule line {})", One.RuleLine);
+    Text += CurrentBlocker.Text;
+    if (CurrentBlocker.RuleLine != 0) {
+      Text += fmt::format(" (rule line {})", CurrentBlocker.RuleLine);
     }
   }
   return Text;
 }
 
-absl::Status beginOperation(Draft &Next, const RuleSet &Rules,
-                            const HostsNeeded &Needed, const HostName &Host,
-                            const Operation &Hand) {
-  const HostRecord *Record = Next.find(Host);
+absl::Status beginOperation(Draft &NextLedger, const RuleSet &Rules,
+                            const RequiredHostCounts &RequiredHosts,
+                            const HostName &Host, const Operation &Op) {
+  const HostRecord *Record = NextLedger.find(Host);
   if (Record == nullptr) {
     return absl::NotFoundError("the ledger has no host " + Host.Text);
   }
-  if (!Next.value().HaltedBy.empty()) {
-    return absl::FailedPreconditionError("halted by " + Next.value().HaltedBy);
+  if (!NextLedger.value().HaltedBy.empty()) {
+    return absl::FailedPreconditionError("halted by " +
+                                         NextLedger.value().HaltedBy);
   }
   if (Record->away()) {
     return absl::FailedPreconditionError(
         fmt::format("host {} is {}, operation {}", Host.Text,
                     stateCode(Record->State), Record->InHand.Id));
   }
-  const std::vector<Hindrance> Why =
-      mayGoAway(Next.value(), Rules, Host, Needed);
-  if (!Why.empty()) {
-    return absl::FailedPreconditionError(describe(Why));
+  const std::vector<Blocker> Blockers =
+      mayGoAway(NextLedger.value(), Rules, Host, RequiredHosts);
+  if (!Blockers.empty()) {
+    return absl::FailedPreconditionError(describeBlockers(Blockers));
   }
-  if (absl::Status Legal = Next.change(Host, HostChange::Leave); !Legal.ok()) {
-    return Legal;
+  if (absl::Status ChangeStatus = NextLedger.change(Host, HostChange::Leave);
+      !ChangeStatus.ok()) {
+    return ChangeStatus;
   }
-  HostRecord &Leaving = Next.edit(Host);
-  Leaving.InHand = Hand;
-  Next.note(Host, "host-leaving", 0,
-            {{"pool", Leaving.Pool.Text},
-             {"kind", operationCode(Hand.Kind)},
-             {"operation", Hand.Id},
-             {"cause", Hand.Cause}});
+  HostRecord &LeavingRecord = NextLedger.edit(Host);
+  LeavingRecord.InHand = Op;
+  NextLedger.addLogLine(Host, "host-leaving", 0,
+                        {{"pool", LeavingRecord.Pool.Text},
+                         {"kind", operationCode(Op.Kind)},
+                         {"operation", Op.Id},
+                         {"cause", Op.Cause}});
   return absl::OkStatus();
 }
 
-void failHost(Draft &Next, const HostName &Host, const std::string &Why) {
-  const HostRecord Before = *Next.find(Host);
-  if (!Next.change(Host, HostChange::Fail).ok()) {
+void recordHostLoss(Draft &NextLedger, const HostName &Host,
+                    const std::string &LossCause) {
+  const HostRecord Previous = *NextLedger.find(Host);
+  if (!NextLedger.change(Host, HostChange::Fail).ok()) {
     return;
   }
-  HostRecord &Lost = Next.edit(Host);
-  if (Lost.InHand.Id.empty()) {
-    Lost.InHand.Id = fmt::format("lost-{}-{}", Host.Text, Lost.StateVersion);
+  HostRecord &FailedRecord = NextLedger.edit(Host);
+  if (FailedRecord.InHand.Id.empty()) {
+    FailedRecord.InHand.Id =
+        fmt::format("lost-{}-{}", Host.Text, FailedRecord.StateVersion);
   }
-  if (Before.InHand.Kind == OperationKind::Maintain &&
-      Next.value().Wave.Size != 0) {
-    ++Next.editWhole().Wave.Lost;
+  if (Previous.InHand.Kind == OperationKind::Maintain &&
+      NextLedger.value().Wave.DueHosts != 0) {
+    ++NextLedger.editLedger().Wave.LostHosts;
   }
-  Next.note(Host, "host-lost", 0,
-            {{"pool", Before.Pool.Text},
-             {"from", stateCode(Before.State)},
-             {"operation", Lost.InHand.Id},
-             {"why", Why}});
+  NextLedger.addLogLine(Host, "host-lost", 0,
+                        {{"pool", Previous.Pool.Text},
+                         {"from", stateCode(Previous.State)},
+                         {"operation", FailedRecord.InHand.Id},
+                         {"why", LossCause}});
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Operations.h
+++ b/Source/Fleet/Operations.h
@@ -1,6 +1,6 @@
 /// \file
-/// The beginning and the failing of operations, for owners' orders and for the
-/// planners alike.
+/// Starting and failing of host operations, shared by the planners and the
+/// owners' orders.
 
 #ifndef BALSAMLATCH_FLEET_OPERATIONS_H
 #define BALSAMLATCH_FLEET_OPERATIONS_H
@@ -13,17 +13,18 @@
 
 namespace balsamlatch::fleet {
 
-/// Begins an operation on a host that may go. FailedPrecondition says why it
-/// may not.
-absl::Status beginOperation(Draft &Next, const RuleSet &Rules,
-                            const HostsNeeded &Needed, const HostName &Host,
-                            const Operation &Hand);
+/// Starts an operation on a host. FailedPrecondition says what blocks it.
+absl::Status beginOperation(Draft &NextLedger, const RuleSet &Rules,
+                            const RequiredHostCounts &RequiredHosts,
+                            const HostName &Host, const Operation &Op);
 
-/// All hindrances as one sentence.
-std::string describe(const std::vector<Hindrance> &Why);
+/// All blockers as one sentence.
+std::string describeBlockers(const std::vector<Blocker> &Blockers);
 
-/// Records a host as lost. A host of a maintenance wave counts in its wave.
-void failHost(Draft &Next, const HostName &Host, const std::string &Why);
+/// Marks a host as failed. A host under maintenance also counts as lost in the
+/// current wave.
+void recordHostLoss(Draft &NextLedger, const HostName &Host,
+                    const std::string &LossCause);
 
 } // namespace balsamlatch::fleet
 
--- a/Source/Fleet/OperatorOrders.cpp
+++ b/Source/Fleet/OperatorOrders.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-absl::Status cancel(Draft &Next, const HostName &Host, const OwnerName &By) {
-  const HostRecord *Record = Next.find(Host);
+absl::Status cancel(Draft &NextLedger, const HostName &Host,
+                    const OwnerName &Owner) {
+  const HostRecord *Record = NextLedger.find(Host);
   if (Record == nullptr) {
     return absl::NotFoundError("the ledger has no host " + Host.Text);
   }
@@ -20,142 +21,151 @@
     return absl::FailedPreconditionError(
         fmt::format("host {} is {}", Host.Text, stateCode(Record->State)));
   }
-  const bool Held = Record->InHand.Kind == OperationKind::Drain;
-  if (Record->State == HostState::Failed && !Held) {
+  const bool IsHeld = Record->InHand.Kind == OperationKind::Drain;
+  if (Record->State == HostState::Failed && !IsHeld) {
     return absl::FailedPreconditionError(
         "the host is lost; it returns when its worker reports again");
   }
   if (!Record->InHand.Cancelled) {
-    Next.edit(Host).InHand.Cancelled = true;
-    Next.note(Host, "operation-cancelled", 0,
-              {{"by", By.Text}, {"operation", Record->InHand.Id}});
+    NextLedger.edit(Host).InHand.Cancelled = true;
+    NextLedger.addLogLine(
+        Host, "operation-cancelled", 0,
+        {{"by", Owner.Text}, {"operation", Record->InHand.Id}});
   }
   return absl::OkStatus();
 }
 
-absl::Status halt(Draft &Next, const OwnerName &By) {
-  if (By.empty()) {
+absl::Status halt(Draft &NextLedger, const OwnerName &Owner) {
+  if (Owner.empty()) {
     return absl::InvalidArgumentError("an owner must be named");
   }
-  if (Next.value().HaltedBy != By.Text) {
-    Next.editWhole().HaltedBy = By.Text;
-    Next.note({}, "fleet-halted", 0, {{"by", By.Text}});
+  if (NextLedger.value().HaltedBy != Owner.Text) {
+    NextLedger.editLedger().HaltedBy = Owner.Text;
+    NextLedger.addLogLine({}, "fleet-halted", 0, {{"by", Owner.Text}});
   }
   return absl::OkStatus();
 }
 
-absl::Status resume(Draft &Next, const OwnerName &By) {
-  const Ledger &Value = Next.value();
-  if (!Value.HaltedBy.empty() || !Value.Wave.Stopped.empty()) {
-    Ledger &Whole = Next.editWhole();
-    Whole.HaltedBy.clear();
-    Whole.Wave = WaveRecord();
-    Next.note({}, "fleet-resumed", 0, {{"by", By.Text}});
+absl::Status resume(Draft &NextLedger, const OwnerName &Owner) {
+  const Ledger &CurrentLedger = NextLedger.value();
+  if (!CurrentLedger.HaltedBy.empty() ||
+      !CurrentLedger.Wave.StopReason.empty()) {
+    Ledger &EditedLedger = NextLedger.editLedger();
+    EditedLedger.HaltedBy.clear();
+    EditedLedger.Wave = WaveRecord();
+    NextLedger.addLogLine({}, "fleet-resumed", 0, {{"by", Owner.Text}});
   }
   return absl::OkStatus();
 }
 
 } // namespace
 
-void OperatorOrders::take(const OperatorAsked &Asked, Instant Now) {
-  Waiting.push_back({Asked, fmt::format("{}-q{}", Prefix, ++Count), Now});
+void OperatorOrders::enqueue(const OperatorAsked &Request, Instant Now) {
+  PendingOrders.push_back(
+      {Request, fmt::format("{}-q{}", IdPrefix, ++RequestCount), Now});
 }
 
-void OperatorOrders::apply(Draft &Next, const RuleSet *Rules,
-                           const HostsNeeded &Needed, WallTime Wall,
-                           std::vector<FleetAction> &Out) {
-  std::erase_if(Waiting, [&](Order &Given) {
-    const absl::Status Drafted = draft(Given, Next, Rules, Needed, Wall);
-    if (!Drafted.ok() || !Next.changed()) {
-      Out.emplace_back(AnswerOperator{Given.Asked.Question, Drafted});
+void OperatorOrders::draftAll(Draft &NextLedger, const RuleSet *Rules,
+                              const RequiredHostCounts &RequiredHosts,
+                              WallTime Wall,
+                              std::vector<FleetAction> &Actions) {
+  std::erase_if(PendingOrders, [&](Order &PendingOrder) {
+    const absl::Status DraftStatus =
+        draftOrder(PendingOrder, NextLedger, Rules, RequiredHosts, Wall);
+    if (!DraftStatus.ok() || !NextLedger.changed()) {
+      Actions.emplace_back(
+          AnswerOperator{PendingOrder.Request.Question, DraftStatus});
       return true;
     }
-    Given.Drafted = true;
-    Given.Tried = true;
+    PendingOrder.InDraft = true;
+    PendingOrder.MayBeWritten = true;
     return false;
   });
 }
 
-void OperatorOrders::written(std::vector<FleetAction> &Out) {
-  std::erase_if(Waiting, [&](const Order &Given) {
-    if (Given.Drafted) {
-      Out.emplace_back(AnswerOperator{Given.Asked.Question, absl::OkStatus()});
+void OperatorOrders::confirmWritten(std::vector<FleetAction> &Actions) {
+  std::erase_if(PendingOrders, [&](const Order &PendingOrder) {
+    if (PendingOrder.InDraft) {
+      Actions.emplace_back(
+          AnswerOperator{PendingOrder.Request.Question, absl::OkStatus()});
     }
-    return Given.Drafted;
+    return PendingOrder.InDraft;
   });
 }
 
-void OperatorOrders::notWritten() {
-  for (Order &Given : Waiting) {
-    Given.Drafted = false;
+void OperatorOrders::resetDrafted() {
+  for (Order &PendingOrder : PendingOrders) {
+    PendingOrder.InDraft = false;
   }
 }
 
-void OperatorOrders::expire(Instant Now, std::vector<FleetAction> &Out) {
-  std::erase_if(Waiting, [&](const Order &Given) {
-    if (Now - Given.Since < StoreWait) {
+void OperatorOrders::expire(Instant Now, std::vector<FleetAction> &Actions) {
+  std::erase_if(PendingOrders, [&](const Order &PendingOrder) {
+    if (Now - PendingOrder.EnqueuedAt < StoreTimeout) {
       return false;
     }
-    const absl::Status Why =
-        Given.Tried
+    const absl::Status FinalStatus =
+        PendingOrder.MayBeWritten
             ? absl::DeadlineExceededError(
                   "the store does not answer; the order may take effect")
             : absl::UnavailableError("the store does not answer; not done");
-    Out.emplace_back(AnswerOperator{Given.Asked.Question, Why});
+    Actions.emplace_back(
+        AnswerOperator{PendingOrder.Request.Question, FinalStatus});
     return true;
   });
 }
 
-absl::Status OperatorOrders::draft(const Order &Given, Draft &Next,
-                                   const RuleSet *Rules,
-                                   const HostsNeeded &Needed,
-                                   WallTime Wall) const {
-  const OperatorAsked &Asked = Given.Asked;
-  switch (Asked.Verb) {
+absl::Status OperatorOrders::draftOrder(const Order &PendingOrder,
+                                        Draft &NextLedger, const RuleSet *Rules,
+                                        const RequiredHostCounts &RequiredHosts,
+                                        WallTime Wall) const {
+  const OperatorAsked &Request = PendingOrder.Request;
+  switch (Request.Verb) {
   case OperatorVerb::Drain:
-    return begin(Given,
-                 Asked.StayDrained ? OperationKind::Drain
-                                   : OperationKind::Maintain,
-                 Next, Rules, Needed, Wall);
+    return beginHostOperation(PendingOrder,
+                              Request.StayDrained ? OperationKind::Drain
+                                                  : OperationKind::Maintain,
+                              NextLedger, Rules, RequiredHosts, Wall);
   case OperatorVerb::Move:
-    return begin(Given, OperationKind::Move, Next, Rules, Needed, Wall);
+    return beginHostOperation(PendingOrder, OperationKind::Move, NextLedger,
+                              Rules, RequiredHosts, Wall);
   case OperatorVerb::Return:
-    return cancel(Next, Asked.Host, Asked.By);
+    return cancel(NextLedger, Request.Host, Request.By);
   case OperatorVerb::Halt:
-    return halt(Next, Asked.By);
+    return halt(NextLedger, Request.By);
   case OperatorVerb::Resume:
-    return resume(Next, Asked.By);
+    return resume(NextLedger, Request.By);
   }
   return absl::InternalError("unknown order");
 }
 
-absl::Status OperatorOrders::begin(const Order &Given, OperationKind Kind,
-                                   Draft &Next, const RuleSet *Rules,
-                                   const HostsNeeded &Needed,
-                                   WallTime Wall) const {
-  const OperatorAsked &Asked = Given.Asked;
-  const HostRecord *Record = Next.find(Asked.Host);
-  if (Record != nullptr && Record->InHand.Id == Given.Operation) {
+absl::Status OperatorOrders::beginHostOperation(
+    const Order &PendingOrder, OperationKind Kind, Draft &NextLedger,
+    const RuleSet *Rules, const RequiredHostCounts &RequiredHosts,
+    WallTime Wall) const {
+  const OperatorAsked &Request = PendingOrder.Request;
+  const HostRecord *Record = NextLedger.find(Request.Host);
+  if (Record != nullptr && Record->InHand.Id == PendingOrder.OperationId) {
     return absl::OkStatus();
   }
   if (Rules == nullptr) {
     return absl::FailedPreconditionError("no rules are in force here yet");
   }
-  Operation Hand;
-  Hand.Kind = Kind;
-  Hand.Id = Given.Operation;
-  Hand.Cause = Asked.By.Text;
-  Hand.Since = Wall;
+  Operation Op;
+  Op.Kind = Kind;
+  Op.Id = PendingOrder.OperationId;
+  Op.Cause = Request.By.Text;
+  Op.Since = Wall;
   if (Kind == OperationKind::Move) {
-    if (Rules->pool(Asked.Pool) == nullptr) {
-      return absl::NotFoundError("no rule for pool " + Asked.Pool.Text);
+    if (Rules->pool(Request.Pool) == nullptr) {
+      return absl::NotFoundError("no rule for pool " + Request.Pool.Text);
     }
-    if (Record != nullptr && Record->Pool == Asked.Pool) {
+    if (Record != nullptr && Record->Pool == Request.Pool) {
       return absl::FailedPreconditionError("the host is in this pool already");
     }
-    Hand.Target = Asked.Pool;
+    Op.Target = Request.Pool;
   }
-  return beginOperation(Next, *Rules, Needed, Asked.Host, Hand);
+  return beginOperation(NextLedger, *Rules, RequiredHosts, Request.Host, Op);
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/OperatorOrders.h
+++ b/Source/Fleet/OperatorOrders.h
@@ -1,7 +1,7 @@
 /// \file
-/// The owners' orders: each is drafted on the newest ledger until it is
-/// written or refused. Any controller may take one; the ledger's
-/// compare-and-swap keeps the promises.
+/// The queue of the owners' orders. Each order is drafted on the latest ledger
+/// until it is written or refused. Every controller may take orders; the
+/// ledger's compare-and-swap guarantees the budgets.
 
 #ifndef BALSAMLATCH_FLEET_OPERATORORDERS_H
 #define BALSAMLATCH_FLEET_OPERATORORDERS_H
@@ -13,49 +13,54 @@
 
 namespace balsamlatch::fleet {
 
+/// Owners' orders that aren't answered yet.
 class OperatorOrders {
 public:
-  /// How long an order waits for the store before it is answered.
-  static constexpr Duration StoreWait = std::chrono::seconds(10);
+  /// How long an order waits for the store before it is answered with an error.
+  static constexpr Duration StoreTimeout = std::chrono::seconds(10);
 
   explicit OperatorOrders(std::string OperationPrefix)
-      : Prefix(std::move(OperationPrefix)) {}
+      : IdPrefix(std::move(OperationPrefix)) {}
 
-  void take(const OperatorAsked &Asked, Instant Now);
-  bool empty() const { return Waiting.empty(); }
+  void enqueue(const OperatorAsked &Request, Instant Now);
+  bool empty() const { return PendingOrders.empty(); }
 
-  /// Drafts the orders that are possible and answers those that are not.
-  void apply(Draft &Next, const RuleSet *Rules, const HostsNeeded &Needed,
-             WallTime Wall, std::vector<FleetAction> &Out);
+  /// Drafts every order that is possible, and answers the others.
+  void draftAll(Draft &NextLedger, const RuleSet *Rules,
+                const RequiredHostCounts &RequiredHosts, WallTime Wall,
+                std::vector<FleetAction> &Actions);
 
-  /// The last draft was written: its orders are answered.
-  void written(std::vector<FleetAction> &Out);
-  /// The last draft was not written; its orders are drafted anew.
-  void notWritten();
+  /// The last draft was written: answers its orders.
+  void confirmWritten(std::vector<FleetAction> &Actions);
+  /// The last draft wasn't written: its orders are drafted again.
+  void resetDrafted();
 
-  /// Answers the orders that have waited for the store for too long.
-  void expire(Instant Now, std::vector<FleetAction> &Out);
+  /// Answers the orders whose StoreTimeout has passed.
+  void expire(Instant Now, std::vector<FleetAction> &Actions);
 
 private:
   struct Order {
-    OperatorAsked Asked;
-    std::string Operation;
-    Instant Since{};
-    bool Drafted = false;
-    /// A draft with this order may have been written.
-    bool Tried = false;
+    OperatorAsked Request;
+    std::string OperationId;
+    Instant EnqueuedAt{};
+    bool InDraft = false;
+    /// Whether a draft with this order may have been written.
+    bool MayBeWritten = false;
   };
 
-  /// OK: the order stands in the draft, or stood in the ledger already.
-  absl::Status draft(const Order &Given, Draft &Next, const RuleSet *Rules,
-                     const HostsNeeded &Needed, WallTime Wall) const;
-  absl::Status begin(const Order &Given, OperationKind Kind, Draft &Next,
-                     const RuleSet *Rules, const HostsNeeded &Needed,
-                     WallTime Wall) const;
+  /// OK if the order is in the draft or already in the ledger.
+  absl::Status draftOrder(const Order &PendingOrder, Draft &NextLedger,
+                          const RuleSet *Rules,
+                          const RequiredHostCounts &RequiredHosts,
+                          WallTime Wall) const;
+  absl::Status beginHostOperation(const Order &PendingOrder, OperationKind Kind,
+                                  Draft &NextLedger, const RuleSet *Rules,
+                                  const RequiredHostCounts &RequiredHosts,
+                                  WallTime Wall) const;
 
-  std::string Prefix;
-  std::uint64_t Count = 0;
-  std::vector<Order> Waiting;
+  std::string IdPrefix;
+  std::uint64_t RequestCount = 0;
+  std::vector<Order> PendingOrders;
 };
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/OrderTracker.cpp
+++ b/Source/Fleet/OrderTracker.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Repeating of the platform's orders until they are done.
+/// Repeats orders to the platform until they are carried out.
 
 #include "OrderTracker.h"
 
@@ -7,53 +7,55 @@
 
 namespace balsamlatch::fleet {
 
-bool OrderBook::settle(const HostOrder &Order, Instant Now, Ticket Of,
-                       std::vector<FleetAction> &Out) {
-  Entry &Known = Orders[Order.Operation];
-  Known.Host = Order.Host;
-  if (Known.Done) {
+bool OrderTracker::ensureCompleted(const HostOrder &Order, Instant Now,
+                                   Ticket OrderTicket,
+                                   std::vector<FleetAction> &Actions) {
+  OrderState &State = Orders[Order.Operation];
+  State.Host = Order.Host;
+  if (State.IsCompleted) {
     return true;
   }
-  const bool Waiting = Known.InFlight && Now - Known.At < ReplyWait;
-  if (!Waiting && Now >= Known.NextTry) {
-    Known.InFlight = Of;
-    Known.At = Now;
-    Out.emplace_back(GiveOrder{Of, Order});
+  const bool IsWaiting = State.InFlight && Now - State.UpdatedAt < ReplyTimeout;
+  if (!IsWaiting && Now >= State.NextAttempt) {
+    State.InFlight = OrderTicket;
+    State.UpdatedAt = Now;
+    Actions.emplace_back(GiveOrder{OrderTicket, Order});
   }
   return false;
 }
 
-bool OrderBook::settled(const std::string &Operation) const {
-  const auto Found = Orders.find(Operation);
-  return Found != Orders.end() && Found->second.Done;
+bool OrderTracker::completed(const std::string &OperationId) const {
+  const auto Position = Orders.find(OperationId);
+  return Position != Orders.end() && Position->second.IsCompleted;
 }
 
-Instant OrderBook::settledAt(const std::string &Operation) const {
-  return Orders.at(Operation).At;
+Instant OrderTracker::completedAt(const std::string &OperationId) const {
+  return Orders.at(OperationId).UpdatedAt;
 }
 
-absl::Status OrderBook::refusal(const std::string &Operation) const {
-  const auto Found = Orders.find(Operation);
-  return Found == Orders.end() ? absl::OkStatus() : Found->second.Last;
+absl::Status OrderTracker::lastStatus(const std::string &OperationId) const {
+  const auto Position = Orders.find(OperationId);
+  return Position == Orders.end() ? absl::OkStatus()
+                                  : Position->second.LastStatus;
 }
 
-void OrderBook::replied(const OrderReplied &Reply, Instant Now) {
-  const auto Found =
+void OrderTracker::recordReply(const OrderReplied &Reply, Instant Now) {
+  const auto Position =
       std::find_if(Orders.begin(), Orders.end(), [&](const auto &Item) {
         return Item.second.InFlight == Reply.Of;
       });
-  if (Found == Orders.end()) {
+  if (Position == Orders.end()) {
     return;
   }
-  Entry &Known = Found->second;
-  Known.InFlight.reset();
-  Known.Last = Reply.Status;
-  Known.Done = Reply.Status.ok();
-  Known.At = Now;
-  Known.NextTry = Now + RepeatPause;
+  OrderState &State = Position->second;
+  State.InFlight.reset();
+  State.LastStatus = Reply.Status;
+  State.IsCompleted = Reply.Status.ok();
+  State.UpdatedAt = Now;
+  State.NextAttempt = Now + RetryDelay;
 }
 
-void OrderBook::keepOnly(const std::set<HostName> &Hosts) {
+void OrderTracker::retainHosts(const std::set<HostName> &Hosts) {
   std::erase_if(Orders, [&](const auto &Item) {
     return !Hosts.contains(Item.second.Host);
   });
--- a/Source/Fleet/OrderTracker.h
+++ b/Source/Fleet/OrderTracker.h
@@ -1,7 +1,7 @@
 /// \file
-/// The platform's orders that this controller has given: which are in flight,
-/// which are settled, and when one is due again. An order is repeated under
-/// the same operation identifier until the platform says that it is done.
+/// Tracks the orders that this controller has sent to the platform. An order is
+/// sent again under the same operation identifier until the platform confirms
+/// that it is carried out.
 
 #ifndef BALSAMLATCH_FLEET_ORDERTRACKER_H
 #define BALSAMLATCH_FLEET_ORDERTRACKER_H
@@ -16,40 +16,41 @@
 
 namespace balsamlatch::fleet {
 
-class OrderBook {
+/// The state of each order, by operation identifier.
+class OrderTracker {
 public:
-  /// Pause before an order is repeated.
-  static constexpr Duration RepeatPause = std::chrono::seconds(2);
-  /// After this long without a reply the answer counts as lost.
-  static constexpr Duration ReplyWait = std::chrono::seconds(5);
+  /// Delay between a failed reply and the next attempt.
+  static constexpr Duration RetryDelay = std::chrono::seconds(2);
+  /// A reply that takes longer than this counts as lost.
+  static constexpr Duration ReplyTimeout = std::chrono::seconds(5);
 
-  /// Whether the platform has carried the order out. When it has not, and the
-  /// order is due, adds it to \p Out.
-  bool settle(const HostOrder &Order, Instant Now, Ticket Of,
-              std::vector<FleetAction> &Out);
+  /// Returns whether the platform has carried out the order. If not, and an
+  /// attempt is due, adds the order to \p Actions.
+  bool ensureCompleted(const HostOrder &Order, Instant Now, Ticket OrderTicket,
+                       std::vector<FleetAction> &Actions);
 
-  bool settled(const std::string &Operation) const;
-  /// When the platform said that the order is done; must be settled.
-  Instant settledAt(const std::string &Operation) const;
-  /// The platform's last refusal; OK: none.
-  absl::Status refusal(const std::string &Operation) const;
+  bool completed(const std::string &OperationId) const;
+  /// When the platform confirmed the order, which must be completed.
+  Instant completedAt(const std::string &OperationId) const;
+  /// The platform's last answer to the order; OK if there is none.
+  absl::Status lastStatus(const std::string &OperationId) const;
 
-  void replied(const OrderReplied &Reply, Instant Now);
+  void recordReply(const OrderReplied &Reply, Instant Now);
 
-  /// Drops the orders of hosts that have no operation in hand.
-  void keepOnly(const std::set<HostName> &Hosts);
+  /// Drops the orders of all other hosts.
+  void retainHosts(const std::set<HostName> &Hosts);
 
 private:
-  struct Entry {
+  struct OrderState {
     HostName Host;
-    bool Done = false;
+    bool IsCompleted = false;
     std::optional<Ticket> InFlight;
-    Instant At{};
-    Instant NextTry{};
-    absl::Status Last;
+    Instant UpdatedAt{};
+    Instant NextAttempt{};
+    absl::Status LastStatus;
   };
 
-  std::map<std::string, Entry> Orders;
+  std::map<std::string, OrderState> Orders;
 };
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Plan.cpp
+++ b/Source/Fleet/Plan.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Picks the hosts of the next rounds: first fit, with the pool that needs the
-/// most rounds first.
+/// Selects the hosts of the next maintenance rounds: first fit, beginning with
+/// the pool that needs the most rounds.
 
 #include "balsamlatch/Fleet/Plan.h"
 
@@ -15,130 +15,136 @@
 using Candidate = const std::pair<const HostName, HostRecord> *;
 
 bool windowOpen(const DailyWindow &Window, WallTime Wall) {
-  const Duration Time = Wall - std::chrono::floor<std::chrono::days>(Wall);
+  const Duration TimeOfDay = Wall - std::chrono::floor<std::chrono::days>(Wall);
   if (Window.From <= Window.To) {
-    return Window.From <= Time && Time < Window.To;
+    return Window.From <= TimeOfDay && TimeOfDay < Window.To;
   }
-  return Time >= Window.From || Time < Window.To;
+  return TimeOfDay >= Window.From || TimeOfDay < Window.To;
 }
 
-/// Rounds that a pool takes by its budget alone.
+/// Rounds that each pool needs, from its own budget alone.
 std::map<PoolName, std::uint32_t>
-roundsByPool(const std::vector<Candidate> &Due, const AwayCounts &Counts,
-             const RuleSet &Rules) {
+roundsByPool(const std::vector<Candidate> &DueCandidates,
+             const AwayCounts &Counts, const RuleSet &Rules) {
   std::map<PoolName, std::uint32_t> Rounds;
-  for (const Candidate &Host : Due) {
+  for (const Candidate &Host : DueCandidates) {
     ++Rounds[Host->second.Pool];
   }
-  for (auto &[Pool, Number] : Rounds) {
+  for (auto &[Pool, RoundCount] : Rounds) {
     const PoolRule *Rule = Rules.pool(Pool);
     const std::uint32_t Allowed =
         Rule == nullptr ? 0 : Rule->Away.allowed(Counts.pool(Pool).Members);
-    Number = (Number + std::max(Allowed, 1u) - 1) / std::max(Allowed, 1u);
+    RoundCount =
+        (RoundCount + std::max(Allowed, 1u) - 1) / std::max(Allowed, 1u);
   }
   return Rounds;
 }
 
-/// Hosts that are due in each group.
+/// Number of due hosts by the given attribute.
 template <typename Name>
-std::map<Name, std::uint32_t> countDue(const std::vector<Candidate> &Due,
-                                       Name HostRecord::*Group) {
-  std::map<Name, std::uint32_t> Numbers;
-  for (const Candidate Host : Due) {
-    ++Numbers[Host->second.*Group];
+std::map<Name, std::uint32_t>
+countDue(const std::vector<Candidate> &DueCandidates, Name HostRecord::*Group) {
+  std::map<Name, std::uint32_t> Counts;
+  for (const Candidate Host : DueCandidates) {
+    ++Counts[Host->second.*Group];
   }
-  return Numbers;
+  return Counts;
 }
 
-/// The pool with the most rounds left first; within it the data centre and the
-/// rack with the most hosts left, so that the end of a wave isn't crowded into
-/// one failure domain.
-void sortByUrgency(std::vector<Candidate> &Due, const AwayCounts &Counts,
-                   const RuleSet &Rules) {
-  const auto Rounds = roundsByPool(Due, Counts, Rules);
-  const auto InCentre = countDue(Due, &HostRecord::DataCentre);
-  const auto InRack = countDue(Due, &HostRecord::Rack);
+/// Sorts the pool with the most remaining rounds first; within it the data
+/// centre and the rack with the most remaining hosts, so that the last rounds
+/// of a wave aren't concentrated in one failure domain.
+void sortByUrgency(std::vector<Candidate> &DueCandidates,
+                   const AwayCounts &Counts, const RuleSet &Rules) {
+  const auto Rounds = roundsByPool(DueCandidates, Counts, Rules);
+  const auto DueByCentre = countDue(DueCandidates, &HostRecord::DataCentre);
+  const auto DueByRack = countDue(DueCandidates, &HostRecord::Rack);
   using Urgency = std::tuple<std::uint32_t, std::uint32_t, std::uint32_t>;
-  std::vector<std::pair<Urgency, Candidate>> Keyed;
-  Keyed.reserve(Due.size());
-  for (const Candidate Host : Due) {
+  std::vector<std::pair<Urgency, Candidate>> RankedHosts;
+  RankedHosts.reserve(DueCandidates.size());
+  for (const Candidate Host : DueCandidates) {
     const HostRecord &Record = Host->second;
-    Keyed.emplace_back(Urgency(Rounds.at(Record.Pool),
-                               InCentre.at(Record.DataCentre),
-                               InRack.at(Record.Rack)),
-                       Host);
+    RankedHosts.emplace_back(Urgency(Rounds.at(Record.Pool),
+                                     DueByCentre.at(Record.DataCentre),
+                                     DueByRack.at(Record.Rack)),
+                             Host);
   }
-  // Due is in the order of the names, which decides between equals.
-  std::stable_sort(Keyed.begin(), Keyed.end(),
-                   [](const auto &One, const auto &Other) {
-                     return One.first > Other.first;
+  // A stable sort: hosts of equal urgency keep their previous order, which is
+  // by name in the first round.
+  std::stable_sort(RankedHosts.begin(), RankedHosts.end(),
+                   [](const auto &Left, const auto &Right) {
+                     return Left.first > Right.first;
                    });
-  std::transform(Keyed.begin(), Keyed.end(), Due.begin(),
+  std::transform(RankedHosts.begin(), RankedHosts.end(), DueCandidates.begin(),
                  [](const auto &Item) { return Item.second; });
 }
 
-std::vector<Candidate> dueHosts(const Ledger &Value, const RuleSet &Rules,
-                                WallTime Wall) {
-  std::vector<Candidate> Due;
-  for (const auto &Item : Value.Hosts) {
+std::vector<Candidate> dueHosts(const Ledger &CurrentLedger,
+                                const RuleSet &Rules, WallTime Wall) {
+  std::vector<Candidate> DueCandidates;
+  for (const auto &Item : CurrentLedger.Hosts) {
     if (Item.second.State == HostState::InService &&
         maintenanceDue(Item.second, Rules, Wall)) {
-      Due.push_back(&Item);
+      DueCandidates.push_back(&Item);
     }
   }
-  return Due;
+  return DueCandidates;
 }
 
-HostRecord asLeaving(HostRecord Record) {
+HostRecord makeLeavingRecord(HostRecord Record) {
   Record.State = HostState::Leaving;
   return Record;
 }
 
-/// Takes from \p Due what may leave together; gives reasons for the rest.
-std::vector<Candidate> takeRound(std::vector<Candidate> &Due,
-                                 AwayCounts &Counts, const RuleSet &Rules,
-                                 const HostsNeeded &Needed,
-                                 std::vector<WaitingHost> *Waiting) {
-  sortByUrgency(Due, Counts, Rules);
+/// Removes from \p DueCandidates the hosts that may leave together and records
+/// the blockers of the others.
+std::vector<Candidate> selectRound(std::vector<Candidate> &DueCandidates,
+                                   AwayCounts &Counts, const RuleSet &Rules,
+                                   const RequiredHostCounts &RequiredHosts,
+                                   std::vector<WaitingHost> *Waiting) {
+  sortByUrgency(DueCandidates, Counts, Rules);
   std::vector<Candidate> Round;
-  std::vector<Candidate> Rest;
-  for (const Candidate Host : Due) {
-    std::vector<Hindrance> Why = mayGoAway(Counts, Rules, Host->second, Needed);
-    if (Why.empty()) {
+  std::vector<Candidate> Remaining;
+  for (const Candidate Host : DueCandidates) {
+    std::vector<Blocker> Blockers =
+        mayGoAway(Counts, Rules, Host->second, RequiredHosts);
+    if (Blockers.empty()) {
       Counts.remove(Host->second);
-      Counts.add(asLeaving(Host->second));
+      Counts.add(makeLeavingRecord(Host->second));
       Round.push_back(Host);
       continue;
     }
-    Rest.push_back(Host);
+    Remaining.push_back(Host);
     if (Waiting != nullptr) {
-      Waiting->push_back({Host->first, Host->second.Pool, std::move(Why)});
+      Waiting->push_back({Host->first, Host->second.Pool, std::move(Blockers)});
     }
   }
-  Due = std::move(Rest);
+  DueCandidates = std::move(Remaining);
   return Round;
 }
 
-/// The ledger as if everything that is away had come back.
-AwayCounts allBack(const Ledger &Value) {
-  Ledger Back = Value;
-  for (auto &[Host, Record] : Back.Hosts) {
+/// Counts of the ledger as if every host except the failed ones were back.
+AwayCounts countsAfterReturn(const Ledger &CurrentLedger) {
+  Ledger ReturnedLedger = CurrentLedger;
+  for (auto &[Host, Record] : ReturnedLedger.Hosts) {
     if (Record.State != HostState::Failed) {
       Record.State = HostState::InService;
       Record.InHand = Operation();
     }
   }
-  return AwayCounts(Back);
+  return AwayCounts(ReturnedLedger);
 }
 
-void addRounds(FleetPlan &Plan, std::vector<Candidate> Due, AwayCounts &Counts,
-               const Ledger &Value, const RuleSet &Rules,
-               const HostsNeeded &Needed, unsigned MaxRounds) {
+void addRounds(FleetPlan &Plan, std::vector<Candidate> DueCandidates,
+               AwayCounts &Counts, const Ledger &CurrentLedger,
+               const RuleSet &Rules, const RequiredHostCounts &RequiredHosts,
+               unsigned MaxRounds) {
   std::vector<WaitingHost> *Waiting = &Plan.Waiting;
-  while (!Due.empty() && Plan.Rounds.size() < MaxRounds) {
+  while (!DueCandidates.empty() && Plan.Rounds.size() < MaxRounds) {
     const std::vector<Candidate> Round =
-        takeRound(Due, Counts, Rules, Needed, Waiting);
-    // The first round may be empty: what is away now must come back first.
+        selectRound(DueCandidates, Counts, Rules, RequiredHosts, Waiting);
+    // The first round may be empty: hosts that are out of service now must
+    // return first.
     if (Round.empty() && !Plan.Rounds.empty()) {
       break;
     }
@@ -147,40 +153,40 @@
       Names.push_back(Host->first);
     }
     if (Waiting != nullptr) {
-      Counts = allBack(Value);
+      Counts = countsAfterReturn(CurrentLedger);
       Waiting = nullptr;
       continue;
     }
     for (const Candidate Host : Round) {
-      Counts.remove(asLeaving(Host->second));
+      Counts.remove(makeLeavingRecord(Host->second));
       Counts.add(Host->second);
     }
   }
 }
 
-boost::json::array reasonsJson(const std::vector<Hindrance> &Why) {
-  boost::json::array All;
-  for (const Hindrance &One : Why) {
-    All.push_back(boost::json::object{{"reason", One.Reason},
-                                      {"rule_line", One.RuleLine},
-                                      {"text", One.Text}});
+boost::json::array blockersJson(const std::vector<Blocker> &Blockers) {
+  boost::json::array Items;
+  for (const Blocker &Item : Blockers) {
+    Items.push_back(boost::json::object{{"reason", Item.Reason},
+                                        {"rule_line", Item.RuleLine},
+                                        {"text", Item.Text}});
   }
-  return All;
+  return Items;
 }
 
-template <typename Names> boost::json::array namesJson(const Names &All) {
+template <typename Names> boost::json::array namesJson(const Names &HostNames) {
   boost::json::array Texts;
-  for (const auto &Name : All) {
+  for (const auto &Name : HostNames) {
     Texts.push_back(boost::json::string(Name.Text));
   }
   return Texts;
 }
 
-std::string reasonsText(const std::vector<Hindrance> &Why) {
+std::string blockersText(const std::vector<Blocker> &Blockers) {
   std::string Text;
-  for (const Hindrance &One : Why) {
-    Text +=
-        fmt::format("{}{}: {}", Text.empty() ? "" : "; ", One.Reason, One.Text);
+  for (const Blocker &Item : Blockers) {
+    Text += fmt::format("{}{}: {}", Text.empty() ? "" : "; ", Item.Reason,
+                        Item.Text);
   }
   return Text;
 }
@@ -194,105 +200,114 @@
          Wall - Record.LastMaintained >= Period / 100 * DueSharePercent;
 }
 
-std::vector<Hindrance> maintenanceBlocked(const Ledger &Value,
-                                          const RuleSet &Rules, WallTime Wall) {
-  std::vector<Hindrance> Why;
+std::vector<Blocker> maintenanceBlocked(const Ledger &CurrentLedger,
+                                        const RuleSet &Rules, WallTime Wall) {
+  std::vector<Blocker> Blockers;
   const MaintenanceRule &Rule = Rules.Maintenance;
-  if (!Value.HaltedBy.empty()) {
-    Why.push_back({"fleet-halted", 0, "halted by " + Value.HaltedBy});
+  if (!CurrentLedger.HaltedBy.empty()) {
+    Blockers.push_back(
+        {"fleet-halted", 0, "halted by " + CurrentLedger.HaltedBy});
   }
-  if (!Value.Wave.Stopped.empty()) {
-    Why.push_back({"wave-stopped", Rule.Origin.Line, Value.Wave.Stopped});
+  if (!CurrentLedger.Wave.StopReason.empty()) {
+    Blockers.push_back(
+        {"wave-stopped", Rule.Origin.Line, CurrentLedger.Wave.StopReason});
   }
-  const bool Open = Rule.Windows.empty() ||
-                    std::any_of(Rule.Windows.begin(), Rule.Windows.end(),
-                                [&](const DailyWindow &Window) {
-                                  return windowOpen(Window, Wall);
-                                });
-  if (!Open) {
-    Why.push_back({"window-closed", Rule.Origin.Line,
-                   "outside the declared maintenance windows"});
+  const bool IsWindowOpen =
+      Rule.Windows.empty() ||
+      std::any_of(
+          Rule.Windows.begin(), Rule.Windows.end(),
+          [&](const DailyWindow &Window) { return windowOpen(Window, Wall); });
+  if (!IsWindowOpen) {
+    Blockers.push_back({"window-closed", Rule.Origin.Line,
+                        "outside the declared maintenance windows"});
   }
-  return Why;
+  return Blockers;
 }
 
-FleetPlan makePlan(const Ledger &Value, const RuleSet &Rules,
-                   const HostsNeeded &Needed, WallTime Wall,
+FleetPlan makePlan(const Ledger &CurrentLedger, const RuleSet &Rules,
+                   const RequiredHostCounts &RequiredHosts, WallTime Wall,
                    unsigned MaxRounds) {
   FleetPlan Plan;
-  Plan.Blocked = maintenanceBlocked(Value, Rules, Wall);
-  for (const auto &[Host, Record] : Value.Hosts) {
+  Plan.StartBlockers = maintenanceBlocked(CurrentLedger, Rules, Wall);
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
     if (Record.away()) {
       Plan.Away.push_back(Host);
     }
   }
-  AwayCounts Counts(Value);
-  addRounds(Plan, dueHosts(Value, Rules, Wall), Counts, Value, Rules, Needed,
-            MaxRounds);
+  AwayCounts Counts(CurrentLedger);
+  addRounds(Plan, dueHosts(CurrentLedger, Rules, Wall), Counts, CurrentLedger,
+            Rules, RequiredHosts, MaxRounds);
   return Plan;
 }
 
-std::string planText(const Ledger &Value, const RuleSet &Rules,
-                     const HostsNeeded &Needed, WallTime Wall,
-                     unsigned MaxRounds, const HostWaits &Waits) {
-  const FleetPlan Plan = makePlan(Value, Rules, Needed, Wall, MaxRounds);
+std::string planText(const Ledger &CurrentLedger, const RuleSet &Rules,
+                     const RequiredHostCounts &RequiredHosts, WallTime Wall,
+                     unsigned MaxRounds,
+                     const HostBlockers &OperationBlockers) {
+  const FleetPlan Plan =
+      makePlan(CurrentLedger, Rules, RequiredHosts, Wall, MaxRounds);
   std::string Text;
-  for (const Hindrance &Why : Plan.Blocked) {
-    Text += fmt::format("nothing starts now: {}: {}\n", Why.Reason, Why.Text);
+  for (const Blocker &StartBlocker : Plan.StartBlockers) {
+    Text += fmt::format("nothing starts now: {}: {}\n", StartBlocker.Reason,
+                        StartBlocker.Text);
   }
   for (const HostName &Host : Plan.Away) {
-    const HostRecord &Record = Value.Hosts.at(Host);
+    const HostRecord &Record = CurrentLedger.Hosts.at(Host);
     Text += fmt::format("away      {:<20} {:<16} {:<15} {} {}", Host.Text,
                         Record.Pool.Text, stateCode(Record.State),
                         operationCode(Record.InHand.Kind), Record.InHand.Cause);
-    const auto Wait = Waits.find(Host);
-    Text += Wait == Waits.end()
+    const auto WaitBlocker = OperationBlockers.find(Host);
+    Text += WaitBlocker == OperationBlockers.end()
                 ? std::string("\n")
-                : fmt::format("; {}\n", reasonsText({Wait->second}));
+                : fmt::format("; {}\n", blockersText({WaitBlocker->second}));
   }
-  unsigned Number = 0;
+  unsigned RoundNumber = 0;
   for (const std::vector<HostName> &Round : Plan.Rounds) {
-    ++Number;
+    ++RoundNumber;
     for (const HostName &Host : Round) {
-      Text += fmt::format("round {:<3} {:<20} {}\n", Number, Host.Text,
-                          Value.Hosts.at(Host).Pool.Text);
+      Text += fmt::format("round {:<3} {:<20} {}\n", RoundNumber, Host.Text,
+                          CurrentLedger.Hosts.at(Host).Pool.Text);
     }
   }
   for (const WaitingHost &Host : Plan.Waiting) {
     Text += fmt::format("waits     {:<20} {:<16} {}\n", Host.Host.Text,
-                        Host.Pool.Text, reasonsText(Host.Why));
+                        Host.Pool.Text, blockersText(Host.Blockers));
   }
   return Text.empty() ? "no host is due\n" : Text;
 }
 
-boost::json::object planJson(const Ledger &Value, const RuleSet &Rules,
-                             const HostsNeeded &Needed, WallTime Wall,
-                             unsigned MaxRounds, const HostWaits &Waits) {
-  const FleetPlan Plan = makePlan(Value, Rules, Needed, Wall, MaxRounds);
+boost::json::object planJson(const Ledger &CurrentLedger, const RuleSet &Rules,
+                             const RequiredHostCounts &RequiredHosts,
+                             WallTime Wall, unsigned MaxRounds,
+                             const HostBlockers &OperationBlockers) {
+  const FleetPlan Plan =
+      makePlan(CurrentLedger, Rules, RequiredHosts, Wall, MaxRounds);
   boost::json::array Rounds;
   for (const std::vector<HostName> &Round : Plan.Rounds) {
     Rounds.push_back(namesJson(Round));
   }
   boost::json::array Waiting;
   for (const WaitingHost &Host : Plan.Waiting) {
-    Waiting.push_back(boost::json::object{{"host", Host.Host.Text},
-                                          {"pool", Host.Pool.Text},
-                                          {"why", reasonsJson(Host.Why)}});
+    Waiting.push_back(
+        boost::json::object{{"host", Host.Host.Text},
+                            {"pool", Host.Pool.Text},
+                            {"why", blockersJson(Host.Blockers)}});
   }
   boost::json::array Away;
   for (const HostName &Host : Plan.Away) {
-    const HostRecord &Record = Value.Hosts.at(Host);
-    const auto Wait = Waits.find(Host);
+    const HostRecord &Record = CurrentLedger.Hosts.at(Host);
+    const auto WaitBlocker = OperationBlockers.find(Host);
     Away.push_back(boost::json::object{
         {"host", Host.Text},
         {"pool", Record.Pool.Text},
         {"state", stateCode(Record.State)},
         {"operation", operationCode(Record.InHand.Kind)},
         {"cause", Record.InHand.Cause},
-        {"why", Wait == Waits.end() ? boost::json::array()
-                                    : reasonsJson({Wait->second})}});
+        {"why", WaitBlocker == OperationBlockers.end()
+                    ? boost::json::array()
+                    : blockersJson({WaitBlocker->second})}});
   }
-  return {{"blocked", reasonsJson(Plan.Blocked)},
+  return {{"blocked", blockersJson(Plan.StartBlockers)},
           {"away", std::move(Away)},
           {"rounds", std::move(Rounds)},
           {"waiting", std::move(Waiting)}};
--- a/Source/Fleet/Recovery.cpp
+++ b/Source/Fleet/Recovery.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Losses and replacements.
+/// Detection of lost hosts, and the choice of their replacements.
 
 #include "Recovery.h"
 
@@ -13,115 +13,123 @@
 namespace {
 
 const PoolRule *sparePool(const RuleSet &Rules) {
-  const auto Found =
+  const auto Position =
       std::find_if(Rules.Pools.begin(), Rules.Pools.end(),
                    [](const auto &Item) { return Item.second.Spare; });
-  return Found == Rules.Pools.end() ? nullptr : &Found->second;
+  return Position == Rules.Pools.end() ? nullptr : &Position->second;
 }
 
-/// Accepting hosts of the pool and those on their way to it.
-std::uint32_t present(const Ledger &Value, const PoolName &Pool) {
-  return static_cast<std::uint32_t>(
-      std::count_if(Value.Hosts.begin(), Value.Hosts.end(), [&](auto &Item) {
+/// Accepting hosts of the pool plus hosts that are moving to it.
+std::uint32_t countPresentHosts(const Ledger &CurrentLedger,
+                                const PoolName &Pool) {
+  return static_cast<std::uint32_t>(std::count_if(
+      CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(), [&](auto &Item) {
         const HostRecord &Record = Item.second;
-        const bool Arrives = Record.InHand.Kind == OperationKind::Move &&
-                             Record.InHand.Target == Pool &&
-                             !Record.InHand.Cancelled;
-        return Arrives || (Record.Pool == Pool && Record.accepting());
+        const bool IsArriving = Record.InHand.Kind == OperationKind::Move &&
+                                Record.InHand.Target == Pool &&
+                                !Record.InHand.Cancelled;
+        return IsArriving || (Record.Pool == Pool && Record.accepting());
       }));
 }
 
-bool replacementBegun(const Ledger &Value, const HostName &Lost) {
-  return std::any_of(
-      Value.Hosts.begin(), Value.Hosts.end(),
-      [&](const auto &Item) { return Item.second.InHand.Replaces == Lost; });
+bool hasReplacement(const Ledger &CurrentLedger, const HostName &LostHost) {
+  return std::any_of(CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(),
+                     [&](const auto &Item) {
+                       return Item.second.InHand.Replaces == LostHost;
+                     });
 }
 
-/// A spare host that may leave now, by preference outside the racks that have
-/// a loss.
-std::optional<HostName> freeSpare(const Ledger &Value, const RuleSet &Rules,
-                                  const PoolName &Spare,
-                                  const HostsNeeded &Needed) {
-  const AwayCounts Counts(Value);
-  std::optional<HostName> Best;
-  std::uint32_t BestAway = 0;
-  for (const auto &[Host, Record] : Value.Hosts) {
-    if (Record.Pool != Spare || Record.State != HostState::InService ||
-        !mayGoAway(Counts, Rules, Record, Needed).empty()) {
+/// A spare host that may leave now, preferably from the rack with the fewest
+/// hosts away.
+std::optional<HostName>
+selectSpareHost(const Ledger &CurrentLedger, const RuleSet &Rules,
+                const PoolName &SparePool,
+                const RequiredHostCounts &RequiredHosts) {
+  const AwayCounts Counts(CurrentLedger);
+  std::optional<HostName> BestHost;
+  std::uint32_t BestAwayInRack = 0;
+  for (const auto &[Host, Record] : CurrentLedger.Hosts) {
+    if (Record.Pool != SparePool || Record.State != HostState::InService ||
+        !mayGoAway(Counts, Rules, Record, RequiredHosts).empty()) {
       continue;
     }
-    const std::uint32_t Away = Counts.rack(Record.Rack).Away;
-    if (!Best || Away < BestAway) {
-      Best = Host;
-      BestAway = Away;
+    const std::uint32_t AwayInRack = Counts.rack(Record.Rack).Away;
+    if (!BestHost || AwayInRack < BestAwayInRack) {
+      BestHost = Host;
+      BestAwayInRack = AwayInRack;
     }
   }
-  return Best;
+  return BestHost;
 }
 
 } // namespace
 
-Hindrance recordLosses(Draft &Next, Facts &Observed, Instant Now) {
-  std::vector<HostName> Silent;
-  for (const auto &[Host, Record] : Next.value().Hosts) {
-    const bool MayBeSilent = Record.State == HostState::InMaintenance ||
-                             Record.State == HostState::Failed;
-    if (!MayBeSilent && Observed.silent(Host, Now)) {
-      Silent.push_back(Host);
+Blocker recordLostHosts(Draft &NextLedger, FleetObservations &Observations,
+                        Instant Now) {
+  std::vector<HostName> UnresponsiveHosts;
+  for (const auto &[Host, Record] : NextLedger.value().Hosts) {
+    const bool IsExpectedDown = Record.State == HostState::InMaintenance ||
+                                Record.State == HostState::Failed;
+    if (!IsExpectedDown && Observations.unresponsive(Host, Now)) {
+      UnresponsiveHosts.push_back(Host);
     }
   }
-  if (Silent.empty()) {
+  if (UnresponsiveHosts.empty()) {
     return {};
   }
-  if (!Observed.seesMost(Next.value(), Now)) {
+  if (!Observations.reportsFromMajority(NextLedger.value(), Now)) {
     return {"reports-missing", 0,
             fmt::format("{} hosts are silent here, most of the fleet: this "
                         "controller may be cut off",
-                        Silent.size())};
+                        UnresponsiveHosts.size())};
   }
-  for (const HostName &Host : Silent) {
-    failHost(Next, Host, "its worker does not report");
+  for (const HostName &Host : UnresponsiveHosts) {
+    recordHostLoss(NextLedger, Host, "its worker does not report");
   }
   return {};
 }
 
-void replaceLost(Draft &Next, Facts &Observed, const RuleSet &Rules,
-                 const HostsNeeded &Needed, Instant Now, WallTime Wall,
-                 const std::string &Prefix) {
-  const PoolRule *Spare = sparePool(Rules);
-  if (Spare == nullptr || !Next.value().HaltedBy.empty()) {
+void replaceLostHosts(Draft &NextLedger, FleetObservations &Observations,
+                      const RuleSet &Rules,
+                      const RequiredHostCounts &RequiredHosts, Instant Now,
+                      WallTime Wall, const std::string &IdPrefix) {
+  const PoolRule *SpareRule = sparePool(Rules);
+  if (SpareRule == nullptr || !NextLedger.value().HaltedBy.empty()) {
     return;
   }
-  std::vector<HostName> Lost;
-  for (const auto &[Host, Record] : Next.value().Hosts) {
-    // A host that an owner holds is the owner's to replace.
-    if (Record.State == HostState::Failed && Record.Pool != Spare->Pool &&
+  std::vector<HostName> LostHosts;
+  for (const auto &[Host, Record] : NextLedger.value().Hosts) {
+    // A host that an owner holds drained is left to the owner to replace.
+    if (Record.State == HostState::Failed && Record.Pool != SpareRule->Pool &&
         Record.InHand.Kind != OperationKind::Drain &&
-        Now - Observed.host(Host).StateSince >= ReplaceAfter) {
-      Lost.push_back(Host);
+        Now - Observations.host(Host).StateSince >= ReplacementDelay) {
+      LostHosts.push_back(Host);
     }
   }
-  for (const HostName &Host : Lost) {
-    const PoolName Pool = Next.find(Host)->Pool;
+  for (const HostName &Host : LostHosts) {
+    const PoolName Pool = NextLedger.find(Host)->Pool;
     const PoolRule *Rule = Rules.pool(Pool);
-    if (Rule == nullptr || present(Next.value(), Pool) >= Rule->Hosts ||
-        replacementBegun(Next.value(), Host)) {
+    if (Rule == nullptr ||
+        countPresentHosts(NextLedger.value(), Pool) >= Rule->Hosts ||
+        hasReplacement(NextLedger.value(), Host)) {
       continue;
     }
-    const std::optional<HostName> Free =
-        freeSpare(Next.value(), Rules, Spare->Pool, Needed);
-    if (!Free) {
+    const std::optional<HostName> SpareHost = selectSpareHost(
+        NextLedger.value(), Rules, SpareRule->Pool, RequiredHosts);
+    if (!SpareHost) {
       return;
     }
-    Operation Hand;
-    Hand.Kind = OperationKind::Move;
-    Hand.Id = fmt::format("{}-r{}-{}", Prefix, Next.baseVersion(), Free->Text);
-    Hand.Target = Pool;
-    Hand.Cause = fmt::format("rule line {}", Rule->Origin.Line);
-    Hand.Since = Wall;
-    Hand.Replaces = Host;
-    // Refused only for a reason that freeSpare has excluded.
-    if (!beginOperation(Next, Rules, Needed, *Free, Hand).ok()) {
+    Operation Op;
+    Op.Kind = OperationKind::Move;
+    Op.Id = fmt::format("{}-r{}-{}", IdPrefix, NextLedger.baseVersion(),
+                        SpareHost->Text);
+    Op.Target = Pool;
+    Op.Cause = fmt::format("rule line {}", Rule->Origin.Line);
+    Op.Since = Wall;
+    Op.Replaces = Host;
+    // selectSpareHost has excluded every blocker except a change in this draft.
+    if (!beginOperation(NextLedger, Rules, RequiredHosts, *SpareHost, Op)
+             .ok()) {
       return;
     }
   }
--- a/Source/Fleet/Recovery.h
+++ b/Source/Fleet/Recovery.h
@@ -1,5 +1,5 @@
 /// \file
-/// Hosts that are lost, and their replacement from the spare pool.
+/// Records lost hosts and replaces them from the spare pool.
 
 #ifndef BALSAMLATCH_FLEET_RECOVERY_H
 #define BALSAMLATCH_FLEET_RECOVERY_H
@@ -12,19 +12,23 @@
 
 namespace balsamlatch::fleet {
 
-/// A host that is lost for this long is replaced; before, it may come back.
-inline constexpr Duration ReplaceAfter = std::chrono::minutes(10);
-
-/// Records hosts as lost whose workers have long not reported. Returns why it
-/// does not, when most of the fleet is silent: then this controller is cut
-/// off, which says nothing about the hosts.
-Hindrance recordLosses(Draft &Next, Facts &Observed, Instant Now);
-
-/// Begins a move from the spare pool for each host that is lost for long from
-/// a pool that has fewer accepting hosts than its rule says.
-void replaceLost(Draft &Next, Facts &Observed, const RuleSet &Rules,
-                 const HostsNeeded &Needed, Instant Now, WallTime Wall,
-                 const std::string &Prefix);
+/// A host is replaced once it has been lost for this long; until then it may
+/// come back.
+inline constexpr Duration ReplacementDelay = std::chrono::minutes(10);
+
+/// Marks hosts as failed whose workers haven't reported for long. If most of
+/// the fleet is unresponsive, this controller is probably cut off, which says
+/// nothing about the hosts: then it marks none and returns the blocker.
+Blocker recordLostHosts(Draft &NextLedger, FleetObservations &Observations,
+                        Instant Now);
+
+/// Starts a move from the spare pool for each host that has been lost for
+/// ReplacementDelay from a pool that has fewer accepting hosts than its rule
+/// requires.
+void replaceLostHosts(Draft &NextLedger, FleetObservations &Observations,
+                      const RuleSet &Rules,
+                      const RequiredHostCounts &RequiredHosts, Instant Now,
+                      WallTime Wall, const std::string &IdPrefix);
 
 } // namespace balsamlatch::fleet
 
--- a/Source/Fleet/WavePlanner.cpp
+++ b/Source/Fleet/WavePlanner.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Maintenance waves.
+/// The life of a maintenance wave.
 
 #include "WavePlanner.h"
 
@@ -18,65 +18,68 @@
          Record.State != HostState::Failed;
 }
 
-std::uint32_t countDue(const Ledger &Value, const RuleSet &Rules,
+std::uint32_t countDue(const Ledger &CurrentLedger, const RuleSet &Rules,
                        WallTime Wall) {
-  return static_cast<std::uint32_t>(
-      std::count_if(Value.Hosts.begin(), Value.Hosts.end(), [&](auto &Item) {
+  return static_cast<std::uint32_t>(std::count_if(
+      CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(), [&](auto &Item) {
         return Item.second.accepting() &&
                Item.second.InHand.Kind != OperationKind::Maintain &&
                maintenanceDue(Item.second, Rules, Wall);
       }));
 }
 
-bool beyondShare(const WaveRecord &Wave, std::uint32_t StopPercent) {
+bool exceedsLossLimit(const WaveRecord &Wave, std::uint32_t StopPercent) {
   constexpr std::uint64_t Percent = 100;
   const std::uint32_t Base =
-      std::max(Wave.Started, std::min(Wave.Size, StopBaseHosts));
-  return Wave.Lost * Percent > std::uint64_t(Base) * StopPercent;
+      std::max(Wave.StartedHosts, std::min(Wave.DueHosts, MinStopBaseHosts));
+  return Wave.LostHosts * Percent > std::uint64_t(Base) * StopPercent;
 }
 
-/// Stops the wave: what has not been rebooted yet goes back.
-void stopWave(Draft &Next, const MaintenanceRule &Rule) {
-  WaveRecord &Wave = Next.editWhole().Wave;
-  Wave.Stopped =
+/// Stops the wave and cancels its operations that haven't reached the reboot.
+void stopWave(Draft &NextLedger, const MaintenanceRule &Rule) {
+  WaveRecord &Wave = NextLedger.editLedger().Wave;
+  Wave.StopReason =
       fmt::format("{} of {} hosts did not come back, more than {} percent",
-                  Wave.Lost, Wave.Started, Rule.StopPercent);
-  Next.note({}, "wave-stopped", Rule.Origin.Line,
-            {{"lost", Wave.Lost},
-             {"started", Wave.Started},
-             {"stop_percent", Rule.StopPercent}});
-  for (const auto &[Host, Record] : Ledger(Next.value()).Hosts) {
-    const bool BeforeReboot = Record.State == HostState::Leaving ||
-                              Record.State == HostState::Drained;
-    if (inWave(Record) && BeforeReboot && !Record.InHand.Cancelled) {
-      Next.edit(Host).InHand.Cancelled = true;
-      Next.note(Host, "operation-cancelled", Rule.Origin.Line,
-                {{"by", "wave-stopped"}, {"operation", Record.InHand.Id}});
+                  Wave.LostHosts, Wave.StartedHosts, Rule.StopPercent);
+  NextLedger.addLogLine({}, "wave-stopped", Rule.Origin.Line,
+                        {{"lost", Wave.LostHosts},
+                         {"started", Wave.StartedHosts},
+                         {"stop_percent", Rule.StopPercent}});
+  for (const auto &[Host, Record] : Ledger(NextLedger.value()).Hosts) {
+    const bool IsBeforeReboot = Record.State == HostState::Leaving ||
+                                Record.State == HostState::Drained;
+    if (inWave(Record) && IsBeforeReboot && !Record.InHand.Cancelled) {
+      NextLedger.edit(Host).InHand.Cancelled = true;
+      NextLedger.addLogLine(
+          Host, "operation-cancelled", Rule.Origin.Line,
+          {{"by", "wave-stopped"}, {"operation", Record.InHand.Id}});
     }
   }
 }
 
-/// Begins or ends a wave. Returns whether one is in hand.
-bool followWave(Draft &Next, const RuleSet &Rules, WallTime Wall) {
-  const Ledger &Value = Next.value();
-  const std::uint32_t Due = countDue(Value, Rules, Wall);
-  if (Value.Wave.Size == 0) {
-    if (Due == 0) {
+/// Starts or ends a wave. Returns whether one is in progress.
+bool updateWave(Draft &NextLedger, const RuleSet &Rules, WallTime Wall) {
+  const Ledger &CurrentLedger = NextLedger.value();
+  const std::uint32_t DueCount = countDue(CurrentLedger, Rules, Wall);
+  if (CurrentLedger.Wave.DueHosts == 0) {
+    if (DueCount == 0) {
       return false;
     }
-    Next.editWhole().Wave.Size = Due;
-    Next.note({}, "wave-begun", Rules.Maintenance.Origin.Line,
-              {{"hosts", Due}});
+    NextLedger.editLedger().Wave.DueHosts = DueCount;
+    NextLedger.addLogLine({}, "wave-begun", Rules.Maintenance.Origin.Line,
+                          {{"hosts", DueCount}});
     return true;
   }
-  const bool Busy =
-      std::any_of(Value.Hosts.begin(), Value.Hosts.end(),
+  const bool HostsInProgress =
+      std::any_of(CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(),
                   [](const auto &Item) { return inWave(Item.second); });
-  if (Due == 0 && !Busy && Value.Wave.Stopped.empty()) {
-    const WaveRecord Ended = Value.Wave;
-    Next.editWhole().Wave = WaveRecord();
-    Next.note({}, "wave-ended", 0,
-              {{"started", Ended.Started}, {"lost", Ended.Lost}});
+  if (DueCount == 0 && !HostsInProgress &&
+      CurrentLedger.Wave.StopReason.empty()) {
+    const WaveRecord EndedWave = CurrentLedger.Wave;
+    NextLedger.editLedger().Wave = WaveRecord();
+    NextLedger.addLogLine(
+        {}, "wave-ended", 0,
+        {{"started", EndedWave.StartedHosts}, {"lost", EndedWave.LostHosts}});
     return false;
   }
   return true;
@@ -84,31 +87,34 @@
 
 } // namespace
 
-void planWave(Draft &Next, const RuleSet &Rules, const HostsNeeded &Needed,
-              WallTime Wall, const std::string &Prefix) {
+void planWave(Draft &NextLedger, const RuleSet &Rules,
+              const RequiredHostCounts &RequiredHosts, WallTime Wall,
+              const std::string &IdPrefix) {
   const MaintenanceRule &Rule = Rules.Maintenance;
-  if (Rule.Period <= Duration::zero() || !followWave(Next, Rules, Wall)) {
+  if (Rule.Period <= Duration::zero() || !updateWave(NextLedger, Rules, Wall)) {
     return;
   }
-  const WaveRecord &Wave = Next.value().Wave;
-  if (Wave.Stopped.empty() && beyondShare(Wave, Rule.StopPercent)) {
-    stopWave(Next, Rule);
+  const WaveRecord &Wave = NextLedger.value().Wave;
+  if (Wave.StopReason.empty() && exceedsLossLimit(Wave, Rule.StopPercent)) {
+    stopWave(NextLedger, Rule);
   }
-  if (!maintenanceBlocked(Next.value(), Rules, Wall).empty()) {
+  if (!maintenanceBlocked(NextLedger.value(), Rules, Wall).empty()) {
     return;
   }
-  const FleetPlan Plan = makePlan(Next.value(), Rules, Needed, Wall);
+  const FleetPlan Plan =
+      makePlan(NextLedger.value(), Rules, RequiredHosts, Wall);
   if (Plan.Rounds.empty()) {
     return;
   }
   for (const HostName &Host : Plan.Rounds.front()) {
-    Operation Hand;
-    Hand.Kind = OperationKind::Maintain;
-    Hand.Id = fmt::format("{}-w{}-{}", Prefix, Next.baseVersion(), Host.Text);
-    Hand.Cause = fmt::format("rule line {}", Rule.Origin.Line);
-    Hand.Since = Wall;
-    if (beginOperation(Next, Rules, Needed, Host, Hand).ok()) {
-      ++Next.editWhole().Wave.Started;
+    Operation Op;
+    Op.Kind = OperationKind::Maintain;
+    Op.Id =
+        fmt::format("{}-w{}-{}", IdPrefix, NextLedger.baseVersion(), Host.Text);
+    Op.Cause = fmt::format("rule line {}", Rule.Origin.Line);
+    Op.Since = Wall;
+    if (beginOperation(NextLedger, Rules, RequiredHosts, Host, Op).ok()) {
+      ++NextLedger.editLedger().Wave.StartedHosts;
     }
   }
 }
--- a/Source/Fleet/WavePlanner.h
+++ b/Source/Fleet/WavePlanner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Begins, stops and ends maintenance waves.
+/// Starts, stops and ends maintenance waves.
 
 #ifndef BALSAMLATCH_FLEET_WAVEPLANNER_H
 #define BALSAMLATCH_FLEET_WAVEPLANNER_H
@@ -11,14 +11,17 @@
 
 namespace balsamlatch::fleet {
 
-/// With fewer hosts started, this many are the base of the stop share.
-inline constexpr std::uint32_t StopBaseHosts = 10;
-
-/// Drafts the next step of maintenance: begins a wave when hosts are due, lets
-/// those leave that may, stops the wave when too many of it are lost, ends it
-/// when none is left. \p Prefix makes operation identifiers unique.
-void planWave(Draft &Next, const RuleSet &Rules, const HostsNeeded &Needed,
-              WallTime Wall, const std::string &Prefix);
+/// Minimum base of the stop percentage: early in a wave the share of lost hosts
+/// is computed as if this many had started, or the wave's size if smaller.
+inline constexpr std::uint32_t MinStopBaseHosts = 10;
+
+/// Drafts the next step of maintenance: starts a wave when hosts are due,
+/// starts operations within the budgets, stops the wave when too many of its
+/// hosts are lost, and ends it when none is left. \p IdPrefix makes operation
+/// identifiers unique.
+void planWave(Draft &NextLedger, const RuleSet &Rules,
+              const RequiredHostCounts &RequiredHosts, WallTime Wall,
+              const std::string &IdPrefix);
 
 } // namespace balsamlatch::fleet
 
--- a/Source/Fleet/include/balsamlatch/Fleet/Audit.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Audit.h
@@ -1,5 +1,5 @@
 /// \file
-/// Checks the history of a ledger's versions against what must always hold.
+/// Checks a history of ledger versions against the ledger's invariants.
 
 #ifndef BALSAMLATCH_FLEET_AUDIT_H
 #define BALSAMLATCH_FLEET_AUDIT_H
@@ -20,33 +20,36 @@
   bool operator==(const LedgerVersion &) const = default;
 };
 
-enum class AuditRule {
-  /// Versions rise; a host's StateVersion rises with its state, and only then.
-  Versions,
-  /// Each change of state is legal.
-  Transitions,
-  /// A host changes pool only by a finished move or a finished replacement.
-  OnePool,
-  /// No host goes away by plan into a budget that is used up.
-  Budgets,
-  /// Operations that ended don't come back; hosts leave the ledger only when
-  /// failed and enter it only on probation.
-  Resurrection,
-  /// No operation begins during a halt.
-  Halt
+/// What must hold for each version and its predecessor.
+enum class HistoryInvariant {
+  /// Versions increase. A host's StateVersion increases if and only if its
+  /// state changes.
+  MonotonicVersions,
+  /// Each change of state is a legal transition.
+  LegalTransitions,
+  /// A host changes pool only at the end of a move or of its replacement.
+  SinglePool,
+  /// No host leaves service by plan when a budget is used up.
+  DisruptionBudgets,
+  /// An ended operation doesn't come back. A host leaves the ledger only when
+  /// failed and enters it only on probation.
+  RecordLifetime,
+  /// No operation starts during a halt.
+  FleetHalt
 };
 
+/// An invariant that a ledger version violates.
 struct Violation {
   std::uint64_t Version = 0;
-  AuditRule Broken = AuditRule::Versions;
+  HistoryInvariant Invariant = HistoryInvariant::MonotonicVersions;
   HostName Host;
   std::string Text;
 
   auto operator<=>(const Violation &) const = default;
 };
 
-/// All violations, in the order of the versions. The rules are taken to be in
-/// force for the whole history.
+/// Returns all violations in the order of the versions. The rules are assumed
+/// to be in force for the whole history.
 std::vector<Violation> auditHistory(const std::vector<LedgerVersion> &History,
                                     const RuleSet &Rules);
 
