--- a/Source/Fleet/HostLifecycle.cpp
+++ b/Source/Fleet/HostLifecycle.cpp
@@ -144,8 +144,8 @@
       HostChange::Fail};
   return std::any_of(
       AllChanges.begin(), AllChanges.end(), [&](HostChange Change) {
-        const absl::StatusOr<HostState> Next = nextState(Source, Change);
-        return Next.ok() && *Next == Target;
+        const absl::StatusOr<HostState> NextState = nextState(Source, Change);
+        return NextState.ok() && *NextState == Target;
       });
 }
 
--- a/Source/Fleet/HostReconciler.cpp
+++ b/Source/Fleet/HostReconciler.cpp
@@ -24,7 +24,7 @@
   return orderId(Op.Id, HostOrderKind::Assign) + "/" + Pool.Text;
 }
 
-bool idle(const WorkerReport &Report) {
+bool isIdle(const WorkerReport &Report) {
   return Report.Draining && Report.SlotsInUse == 0 && Report.Running.empty();
 }
 
@@ -306,7 +306,7 @@
     reissueOrder(HostOrderKind::Drain, Host);
     return {"waiting-worker", 0, "the worker still takes tasks"};
   }
-  if (!idle(Report)) {
+  if (!isIdle(Report)) {
     return {"waiting-worker", 0,
             fmt::format("{} slots in use", Report.SlotsInUse)};
   }
--- a/Source/Fleet/LedgerWriter.h
+++ b/Source/Fleet/LedgerWriter.h
@@ -24,14 +24,14 @@
     Written,
     /// Another writer was first; nothing was written.
     Conflict,
-    /// The store rejected the request; nothing was written.
+    /// The store didn't accept the request; nothing was written.
     NotWritten,
     /// No reply: the ledger must be read before the next write.
     Unknown
   };
 
-  /// Delay after a store error, doubled with each further error up to the
-  /// maximum.
+  /// Delay after a store error or a lost reply, doubled with each further one
+  /// up to the maximum.
   static constexpr Duration MinRetryDelay = std::chrono::milliseconds(250);
   static constexpr Duration MaxRetryDelay = std::chrono::seconds(4);
   /// A reply that takes longer than this counts as lost.
--- a/Source/Fleet/include/balsamlatch/Fleet/Budget.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Budget.h
@@ -51,7 +51,8 @@
 
   /// A moving host counts as an away member of its old pool until it joins the
   /// new one. Then the old pool has one member and one away host fewer, so a
-  /// budget that held before still holds.
+  /// budget that held before still holds, provided that it allows at most all
+  /// hosts of the pool.
   AwayCount pool(const PoolName &Pool) const;
   AwayCount rack(const RackName &Rack) const;
   AwayCount dataCentre(const DataCentreName &DataCentre) const;
--- a/Tests/Fleet/LedgerTest.cpp
+++ b/Tests/Fleet/LedgerTest.cpp
@@ -96,9 +96,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(IllegalChangeIsRejected) {
-  const absl::StatusOr<HostState> Next =
+  const absl::StatusOr<HostState> Result =
       nextState(HostState::InMaintenance, HostChange::Leave);
-  BOOST_TEST(absl::IsFailedPrecondition(Next.status()));
+  BOOST_TEST(absl::IsFailedPrecondition(Result.status()));
 }
 
 BOOST_AUTO_TEST_CASE(PlanListsRoundsAndBlockers) {
