--- a/Source/Placement/Admission.cpp
+++ b/Source/Placement/Admission.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checks of a request against its rule, its pool and the load.
+/// Checks a request against its rule, its pool and the current load.
 
 #include "balsamlatch/Placement/Admission.h"
 
@@ -7,48 +7,49 @@
 
 namespace {
 
-/// The expected wait is rough; a request is refused for it only when it is
-/// this many times the time left.
+/// The expected wait is a rough estimate, so a request is refused only when it
+/// exceeds the time left by this factor.
 constexpr double WaitMargin = 3;
 
-bool fits(const TaskSize &Size, const TaskSize &Worker) {
-  return Size.MilliCores <= Worker.MilliCores &&
-         Size.MemoryMiB <= Worker.MemoryMiB &&
-         Size.Accelerators <= Worker.Accelerators;
+bool fits(const TaskSize &Size, const TaskSize &Capacity) {
+  return Size.MilliCores <= Capacity.MilliCores &&
+         Size.MemoryMiB <= Capacity.MemoryMiB &&
+         Size.Accelerators <= Capacity.Accelerators;
 }
 
-bool waitsTooLong(const JobRule &Rule, const SizeModel &Sizes,
-                  const PoolLoad &Load, Duration TimeLeft) {
-  if (Rule.Class != JobClass::Prompt || Load.Slots <= 0 ||
-      !Sizes.knowsRunTime(Rule.Job)) {
+bool exceedsExpectedWait(const JobRule &Rule, const SizeModel &Sizes,
+                         const PoolLoad &Load, Duration TimeLeft) {
+  if (Rule.Class != JobClass::Prompt || Load.SlotShare <= 0 ||
+      !Sizes.hasEnoughRuns(Rule.Job)) {
     return false;
   }
-  const double Wait =
-      Load.Urgent / Load.Slots * double(Sizes.runTime(Rule).count());
-  return Wait > WaitMargin * double(TimeLeft.count());
+  const double ExpectedWait = Load.UrgentRequests / Load.SlotShare *
+                              double(Sizes.runTime(Rule).count());
+  return ExpectedWait > WaitMargin * double(TimeLeft.count());
 }
 
 } // namespace
 
-const JobRule *ruleFor(const RuleSet *Rules, const JobName &Job) {
+const JobRule *findJobRule(const RuleSet *Rules, const JobName &Job) {
   const JobRule *Rule = Rules == nullptr ? nullptr : Rules->job(Job);
   return Rule != nullptr && Rules->pool(Rule->Pool) != nullptr ? Rule : nullptr;
 }
 
-std::optional<Reason> refusal(const Request &Asked, const JobRule &Rule,
-                              const PoolRule &Pool, const SizeModel &Sizes,
-                              const PoolLoad &Load, Instant Now) {
+std::optional<Reason> refusalReason(const Request &CallerRequest,
+                                    const JobRule &Rule, const PoolRule &Pool,
+                                    const SizeModel &Sizes,
+                                    const PoolLoad &Load, Instant Now) {
   if (!fits(Rule.Size, Pool.WorkerSize)) {
     return Reason::NeverFits;
   }
-  const Duration TimeLeft = Asked.TimeLeft.value_or(Rule.Deadline);
+  const Duration TimeLeft = CallerRequest.TimeLeft.value_or(Rule.Deadline);
   if (TimeLeft <= Sizes.shortestRunTime(Rule, Now)) {
     return Reason::DeadlineUnreachable;
   }
-  if (Load.Waiting >= Load.MaxWaiting) {
+  if (Load.QueuedRequests >= Load.MaxQueuedRequests) {
     return Reason::QueueFull;
   }
-  if (waitsTooLong(Rule, Sizes, Load, TimeLeft)) {
+  if (exceedsExpectedWait(Rule, Sizes, Load, TimeLeft)) {
     return Reason::DeadlineUnreachable;
   }
   return std::nullopt;
--- a/Source/Placement/AttemptMachine.cpp
+++ b/Source/Placement/AttemptMachine.cpp
@@ -16,27 +16,27 @@
 using msm::front::Row;
 
 struct CancelEvent {};
-struct ConfirmedEvent {};
-struct EndedEvent {};
+struct CancelConfirmedEvent {};
+struct CallEndedEvent {};
 
 struct SendCancel {
   template <typename E, typename M, typename S, typename T>
   void operator()(const E & /*Event*/, M &Machine, S & /*From*/, T & /*To*/) {
-    Machine.Step = AttemptStep::SendCancel;
+    Machine.Result = AttemptAction::SendCancel;
   }
 };
 
 struct ReleaseSlot {
   template <typename E, typename M, typename S, typename T>
   void operator()(const E & /*Event*/, M &Machine, S & /*From*/, T & /*To*/) {
-    Machine.Step = AttemptStep::ReleaseSlot;
+    Machine.Result = AttemptAction::ReleaseSlot;
   }
 };
 
 struct AttemptDef : msm::front::state_machine_def<AttemptDef> {
   struct Running : msm::front::state<> {};
   struct Cancelling : msm::front::state<> {};
-  struct Over : msm::front::state<> {};
+  struct Ended : msm::front::state<> {};
 
   using initial_state = Running; // NOLINT(readability-identifier-naming)
 
@@ -44,45 +44,47 @@
   struct transition_table // NOLINT(readability-identifier-naming)
       : boost::mpl::vector<
       Row<Running,    CancelEvent,    Cancelling, SendCancel,  none>,
-      Row<Running,    EndedEvent,     Over,       ReleaseSlot, none>,
-      Row<Cancelling, EndedEvent,     Over,       ReleaseSlot, none>,
-      Row<Cancelling, ConfirmedEvent, Over,       ReleaseSlot, none>> {};
+      Row<Running,    CallEndedEvent,     Ended,       ReleaseSlot, none>,
+      Row<Cancelling, CallEndedEvent,     Ended,       ReleaseSlot, none>,
+      Row<Cancelling, CancelConfirmedEvent, Ended,       ReleaseSlot, none>> {};
   // clang-format on
 
-  /// Whatever the table doesn't name changes nothing.
+  /// An event without a transition in the table is ignored.
   template <typename M, typename E>
   void no_transition(const E & /*Event*/, M & /*Machine*/, int /*State*/) {}
 
-  AttemptStep Step = AttemptStep::None;
+  AttemptAction Result = AttemptAction::None;
 };
 
-constexpr int RunningState = 0;
+constexpr int RunningStateId = 0;
 
 } // namespace
 
-struct AttemptMachine::Machine : msm::back::state_machine<AttemptDef> {
-  template <typename E> AttemptStep take(const E &Event) {
-    Step = AttemptStep::None;
+struct AttemptMachine::StateMachine : msm::back::state_machine<AttemptDef> {
+  template <typename E> AttemptAction process(const E &Event) {
+    Result = AttemptAction::None;
     process_event(Event);
-    return Step;
+    return Result;
   }
 };
 
-AttemptMachine::AttemptMachine() : Self(std::make_unique<Machine>()) {
-  Self->start();
+AttemptMachine::AttemptMachine() : Fsm(std::make_unique<StateMachine>()) {
+  Fsm->start();
 }
 AttemptMachine::~AttemptMachine() = default;
 AttemptMachine::AttemptMachine(AttemptMachine &&) noexcept = default;
 AttemptMachine &AttemptMachine::operator=(AttemptMachine &&) noexcept = default;
 
-AttemptStep AttemptMachine::cancel() { return Self->take(CancelEvent()); }
-AttemptStep AttemptMachine::cancelConfirmed() {
-  return Self->take(ConfirmedEvent());
+AttemptAction AttemptMachine::cancel() { return Fsm->process(CancelEvent()); }
+AttemptAction AttemptMachine::confirmCancel() {
+  return Fsm->process(CancelConfirmedEvent());
+}
+AttemptAction AttemptMachine::endCall() {
+  return Fsm->process(CallEndedEvent());
 }
-AttemptStep AttemptMachine::ended() { return Self->take(EndedEvent()); }
 
-bool AttemptMachine::running() const {
-  return Self->current_state()[0] == RunningState;
+bool AttemptMachine::isRunning() const {
+  return Fsm->current_state()[0] == RunningStateId;
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/Engine.cpp
+++ b/Source/Placement/Engine.cpp
@@ -91,7 +91,7 @@
     pool(View.Pool);
   }
   for (const HostName &Host : Gone) {
-    Health.forget(Host);
+    Health.removeWorker(Host);
   }
   applyWorkers();
   electSchedulers();
@@ -102,14 +102,14 @@
     const auto Slots = static_cast<std::uint32_t>(Workers.slots(Name));
     P.Queue.setSlots(
         std::max(1U, Slots / static_cast<std::uint32_t>(liveEntries())));
-    Health.setPoolSize(Name, Workers.accepting(Name));
+    Health.setPoolSize(Name, Workers.acceptingCount(Name));
     Dirty.insert(Name);
   }
 }
 
 void Engine::Impl::on(const WorkerReported &E) {
   for (const TaskUsage &Usage : E.Report.Running) {
-    Sizes.used(Usage);
+    Sizes.recordUsage(Usage);
   }
 }
 
@@ -122,8 +122,8 @@
 
 void Engine::Impl::on(const Tick & /*E*/) {
   for (auto &[Name, P] : Pools) {
-    const bool Spilled = P.Spare && !P.Spare->idle();
-    if (!P.Queue.empty() || !P.Own.idle() || Spilled) {
+    const bool Spilled = P.Spare && !P.Spare->isIdle();
+    if (!P.Queue.empty() || !P.Own.isIdle() || Spilled) {
       Dirty.insert(Name);
     }
   }
@@ -170,9 +170,9 @@
 std::vector<PoolStanding> Engine::standings() const {
   std::vector<PoolStanding> All;
   for (const auto &[Name, P] : Self->Pools) {
-    All.push_back({Name, P.Queue.prompt(), P.Queue.patient(),
+    All.push_back({Name, P.Queue.promptCount(), P.Queue.patientCount(),
                    Self->Workers.slotsInUse(Name), Self->Workers.slots(Name),
-                   Self->Workers.ejected(Name)});
+                   Self->Workers.ejectedCount(Name)});
   }
   return All;
 }
--- a/Source/Placement/EngineAttempts.cpp
+++ b/Source/Placement/EngineAttempts.cpp
@@ -50,15 +50,16 @@
 
 /// Sends one request to an ejected worker whose probe is due.
 bool Engine::Impl::pumpProbe(const PoolName &Name, PoolState &P) {
-  const std::optional<HostName> Host = Health.dueProbe(Name, Now);
+  const std::optional<HostName> Host = Health.findDueProbe(Name, Now);
   WorkerState *Worker = Host ? Workers.find(*Host) : nullptr;
-  if (Worker == nullptr || !Worker->Listed || !Worker->View.Accepting ||
-      Worker->InUse >= Worker->View.Slots) {
+  if (Worker == nullptr || !Worker->IsListed || !Worker->View.Accepting ||
+      Worker->SlotsInUse >= Worker->View.Slots) {
     return false;
   }
-  const Waiting *Next = P.Queue.next(Now);
+  const QueuedRequest *Next = P.Queue.next(Now);
   OpenRequest &R = Requests.at(Next->Key);
-  if (!R.Rule.Idempotent && !Health.dueProbe(Name, Now - ProbeWithAnyAfter)) {
+  if (!R.Rule.Idempotent &&
+      !Health.findDueProbe(Name, Now - ProbeWithAnyAfter)) {
     return false;
   }
   dispatch(R, *Worker);
@@ -70,7 +71,7 @@
   if (Options.Choice != Policy::SlotGrants) {
     return false;
   }
-  const auto Try = [&](const Waiting *Next, SlotHolder &Holder,
+  const auto Try = [&](const QueuedRequest *Next, SlotHolder &Holder,
                        const PoolName &Target, JobClass Class) {
     if (Next == nullptr) {
       return false;
@@ -78,17 +79,17 @@
     OpenRequest &R = Requests.at(Next->Key);
     const auto Suits = [&](const HostName &Host) {
       const WorkerState *Worker = Workers.find(Host);
-      return Worker != nullptr && Worker->usable(Now) &&
+      return Worker != nullptr && Worker->isUsable(Now) &&
              Worker->View.Pool == Target &&
              std::find(R.Tried.begin(), R.Tried.end(), Host) == R.Tried.end();
     };
-    const std::optional<HostName> Host = Holder.take(Class, Now, Suits);
+    const std::optional<HostName> Host = Holder.takeGrant(Class, Now, Suits);
     if (Host) {
       dispatch(R, *Workers.find(*Host));
     }
     return Host.has_value();
   };
-  const bool NoneUnaged = P.Queue.unaged() == 0;
+  const bool NoneUnaged = P.Queue.unagedCount() == 0;
   return Try(P.Queue.nextUrgent(Now), P.Own, Name, JobClass::Prompt) ||
          Try(P.Queue.nextPatient(Now), P.Own, Name, JobClass::Patient) ||
          (NoneUnaged &&
@@ -98,9 +99,10 @@
 }
 
 /// The request to place by this entry's own choice, or null.
-const Waiting *Engine::Impl::nextChosen(const PoolName &Name, PoolState &P) {
-  const Waiting *Next = P.Queue.next(Now);
-  const std::uint32_t Part = Workers.slots(Name) * PatientPercent /
+const QueuedRequest *Engine::Impl::nextChosen(const PoolName &Name,
+                                              PoolState &P) {
+  const QueuedRequest *Next = P.Queue.next(Now);
+  const std::uint32_t Part = Workers.slots(Name) * MaxPatientPercent /
                              static_cast<std::uint32_t>(100 * liveEntries());
   const bool Urgent = P.Queue.nextUrgent(Now) != nullptr;
   if (!Urgent && P.PatientInUse >= std::max(1U, Part)) {
@@ -112,19 +114,19 @@
 /// Places one request by this entry's own view.
 bool Engine::Impl::pumpChosen(const PoolName &Name, PoolState &P) {
   const bool Granting = Options.Choice == Policy::SlotGrants;
-  if (Granting && !P.Own.unanswered(Now)) {
+  if (Granting && !P.Own.isUnanswered(Now)) {
     return false;
   }
-  if (const Waiting *Next = nextChosen(Name, P)) {
+  if (const QueuedRequest *Next = nextChosen(Name, P)) {
     OpenRequest &R = Requests.at(Next->Key);
     if (WorkerState *Worker = choose(Name, R)) {
       dispatch(R, *Worker);
       return true;
     }
   }
-  const Waiting *Next = P.Queue.nextSpill();
+  const QueuedRequest *Next = P.Queue.nextSpill();
   if (Next == nullptr || SparePool.empty() || SparePool == Name ||
-      (Granting && !P.Spare->unanswered(Now))) {
+      (Granting && !P.Spare->isUnanswered(Now))) {
     return false;
   }
   OpenRequest &R = Requests.at(Next->Key);
@@ -137,9 +139,9 @@
 
 WorkerState *Engine::Impl::choose(const PoolName &Name, const OpenRequest &R) {
   if (Options.Choice == Policy::RoundRobin) {
-    return Workers.roundRobin(Name, R.Tried, Now);
+    return Workers.chooseRoundRobin(Name, R.Tried, Now);
   }
-  return Workers.twoRandomChoices(Name, R.Tried, Rng, Now);
+  return Workers.chooseOfTwoRandom(Name, R.Tried, Rng, Now);
 }
 
 /// Why the request must not be sent now; empty: it may.
@@ -150,7 +152,7 @@
   if (R.Deadline - Now < Sizes.shortestRunTime(R.Rule, Now)) {
     return Reason::DeadlineUnreachable;
   }
-  if (Health.ejected(R.Rule.Job) && !R.JobProbe) {
+  if (Health.isEjected(R.Rule.Job) && !R.JobProbe) {
     return Reason::JobEjected;
   }
   return std::nullopt;
@@ -171,21 +173,21 @@
 
 void Engine::Impl::start(OpenRequest &R, WorkerState &Worker) {
   PoolState &P = pool(R.Rule.Pool);
-  const bool Unaged = P.Queue.waitsUnaged(R.Key);
+  const bool Unaged = P.Queue.isUnaged(R.Key);
   const JobClass Class = Unaged ? JobClass::Patient : JobClass::Prompt;
   P.Queue.remove(R.Key);
-  P.Queue.started(R.Asked.Team, Class);
+  P.Queue.acquireSlot(R.Asked.Team, Class);
   P.PatientInUse += Unaged ? 1 : 0;
   const WorkerView &View = Worker.View;
   const bool OnSpare = View.Pool != R.Rule.Pool;
-  (OnSpare ? *P.Spare : P.Own).started(View.Host, Class);
+  (OnSpare ? *P.Spare : P.Own).acquireSlot(View.Host, Class);
   Workers.acquire(Worker, Now);
   const AttemptId Attempt(++LastAttempt);
   Attempts.emplace(Attempt, OpenAttempt{R.Key, View.Host, View.At, R.Rule.Pool,
                                         View.Pool, R.Asked.Team, R.Rule.Job,
                                         Class, Now, AttemptMachine()});
-  if (Worker.Ejected) {
-    Health.probing(View.Host);
+  if (Worker.IsEjected) {
+    Health.startProbe(View.Host);
   }
   R.At = Phase::Running;
   ++R.Tries;
@@ -195,10 +197,10 @@
   Counters.Hedges += R.Hedging ? 1 : 0;
   Counters.Spilled += OnSpare ? 1 : 0;
   if (R.Tries == 1) {
-    P.Budget.firstAttempt();
+    P.Budget.recordFirstAttempt();
   }
   if (R.Tries == 1 && R.Rule.Idempotent && R.Rule.Class == JobClass::Prompt &&
-      Sizes.knowsRunTime(R.Rule.Job)) {
+      Sizes.hasEnoughRuns(R.Rule.Job)) {
     setTimer(R, Now + std::max(ShortestHedgeWait,
                                HedgeFactor * Sizes.runTime(R.Rule)));
   }
@@ -212,7 +214,7 @@
   log(R.Asked.Id.Text, Why, R.Rule.Origin.Line,
       {{"host", View.Host.Text},
        {"pool", View.Pool.Text},
-       {"in_use", Worker.InUse},
+       {"in_use", Worker.SlotsInUse},
        {"queued", P.Queue.size()},
        {"try", R.Tries}});
   R.Hedging = false;
@@ -234,7 +236,7 @@
 /// Queues a second attempt of an idempotent request whose first takes long.
 void Engine::Impl::hedge(OpenRequest &R) {
   PoolState &P = pool(R.Rule.Pool);
-  if (R.Tries != 1 || R.Hedging || !P.Budget.take()) {
+  if (R.Tries != 1 || R.Hedging || !P.Budget.trySpend()) {
     return;
   }
   R.Hedging = true;
@@ -246,10 +248,10 @@
   OpenAttempt Gone = std::move(Found->second);
   Attempts.erase(Found);
   PoolState &P = pool(Gone.QueuePool);
-  P.Queue.ended(Gone.Team);
+  P.Queue.releaseSlot(Gone.Team);
   P.PatientInUse -= Gone.SlotClass == JobClass::Patient ? 1 : 0;
   const bool OnSpare = Gone.WorkerPool != Gone.QueuePool;
-  (OnSpare ? *P.Spare : P.Own).ended(Gone.Host, Gone.SlotClass);
+  (OnSpare ? *P.Spare : P.Own).releaseSlot(Gone.Host, Gone.SlotClass);
   Dirty.insert(Gone.QueuePool);
   Dirty.insert(Gone.WorkerPool);
   if (WorkerState *Worker = Workers.find(Gone.Host)) {
@@ -261,16 +263,17 @@
 void Engine::Impl::on(const CancelConfirmed &E) {
   const auto Found = Attempts.find(E.Attempt);
   if (Found == Attempts.end() ||
-      Found->second.Life.cancelConfirmed() != AttemptStep::ReleaseSlot) {
+      Found->second.State.confirmCancel() != AttemptAction::ReleaseSlot) {
     return;
   }
   const OpenAttempt Gone = closeAttempt(E.Attempt);
-  Health.undecided(Gone.Host, Gone.Job);
+  Health.clearProbe(Gone.Host, Gone.Job);
 }
 
 void Engine::Impl::on(const AttemptEnded &E) {
   const auto Found = Attempts.find(E.Attempt);
-  const bool Wanted = Found != Attempts.end() && Found->second.Life.running();
+  const bool Wanted =
+      Found != Attempts.end() && Found->second.State.isRunning();
   const bool Answered = E.End == TaskEnd::Answered;
   if (!Wanted && Answered) {
     ++Counters.LateAnswers;
@@ -279,10 +282,10 @@
   if (Found == Attempts.end()) {
     return;
   }
-  Found->second.Life.ended();
+  Found->second.State.endCall();
   const OpenAttempt Gone = closeAttempt(E.Attempt);
   if (!Wanted && !Answered) {
-    Health.undecided(Gone.Host, Gone.Job);
+    Health.clearProbe(Gone.Host, Gone.Job);
     return;
   }
   judge(Gone, E.End);
@@ -298,22 +301,22 @@
 void Engine::Impl::judge(const OpenAttempt &Gone, TaskEnd End) {
   WorkerState *Worker = Workers.find(Gone.Host);
   if (End == TaskEnd::Answered) {
-    Sizes.ran(Gone.Job, Now - Gone.Started, Now);
-    apply(Health.succeeded(Gone.Host, Gone.Job, Now));
+    Sizes.recordRun(Gone.Job, Now - Gone.Started, Now);
+    apply(Health.recordSuccess(Gone.Host, Gone.Job, Now));
     if (Worker != nullptr) {
-      Workers.accepted(*Worker);
+      Workers.recordAcceptance(*Worker);
     }
     return;
   }
   if (Worker != nullptr && provesNotRun(End)) {
-    Workers.refused(*Worker, Now);
+    Workers.recordRefusal(*Worker, Now);
   }
   if (End == TaskEnd::Refused) {
-    Health.undecided(Gone.Host, Gone.Job);
+    Health.clearProbe(Gone.Host, Gone.Job);
     return;
   }
-  apply(Health.failed(Gone.Host, Gone.WorkerPool, Gone.Job, !provesNotRun(End),
-                      Now));
+  apply(Health.recordFailure(Gone.Host, Gone.WorkerPool, Gone.Job,
+                             !provesNotRun(End), Now));
 }
 
 void Engine::Impl::apply(const std::optional<HealthChange> &Change) {
@@ -321,11 +324,12 @@
     return;
   }
   using Kind = HealthChange::Kind;
-  const bool Ejected = Change->What == Kind::WorkerEjected;
-  if (Change->What == Kind::JobEjected || Change->What == Kind::JobReadmitted) {
+  const bool Ejected = Change->ChangeKind == Kind::WorkerEjected;
+  if (Change->ChangeKind == Kind::JobEjected ||
+      Change->ChangeKind == Kind::JobReadmitted) {
     log(Change->Job.Text,
-        Change->What == Kind::JobEjected ? Reason::JobEjected
-                                         : Reason::JobReadmitted,
+        Change->ChangeKind == Kind::JobEjected ? Reason::JobEjected
+                                               : Reason::JobReadmitted,
         0, {});
     return;
   }
@@ -358,16 +362,16 @@
   PoolState &P = pool(R.Rule.Pool);
   P.Queue.remove(R.Key);
   R.Hedging = false;
-  if (!provesNotRun(End) && !P.Budget.take()) {
+  if (!provesNotRun(End) && !P.Budget.trySpend()) {
     finish(R.Key, Outcome::Unknown, Reason::RetryBudgetSpent);
     return;
   }
   ++Counters.Retries;
   // Once every worker was tried, all may be tried again.
-  if (R.Tried.size() >= Workers.accepting(R.Rule.Pool)) {
+  if (R.Tried.size() >= Workers.acceptingCount(R.Rule.Pool)) {
     R.Tried.clear();
   }
-  const Duration Wait = backOff(R.Tries, Rng);
+  const Duration Wait = backOffDelay(R.Tries, Rng);
   if (Wait == Duration::zero()) {
     enqueue(R);
     return;
@@ -379,7 +383,7 @@
 void Engine::Impl::cancelRunning(const OpenRequest &R, AttemptId Except) {
   for (const AttemptId Attempt : R.Running) {
     OpenAttempt &Open = Attempts.at(Attempt);
-    if (Attempt != Except && Open.Life.cancel() == AttemptStep::SendCancel) {
+    if (Attempt != Except && Open.State.cancel() == AttemptAction::SendCancel) {
       Out.push_back(CancelAttempt{Attempt, Open.Host, Open.At});
     }
   }
--- a/Source/Placement/EngineImpl.h
+++ b/Source/Placement/EngineImpl.h
@@ -28,11 +28,11 @@
 namespace balsamlatch::placement {
 
 /// Part of a pool's slots that patient work may hold, in percent.
-inline constexpr std::uint32_t PatientPercent = 75;
+inline constexpr std::uint32_t MaxPatientPercent = 75;
 /// The least such part, in a pool whose prompt bursts can't all spill, and in
 /// one where they can.
-inline constexpr std::uint32_t PatientFloor = 25;
-inline constexpr std::uint32_t PatientFloorOfSpilling = 50;
+inline constexpr std::uint32_t MinPatientPercent = 25;
+inline constexpr std::uint32_t MinPatientPercentWithSpill = 50;
 
 enum class Phase { Claiming, Waiting, BackingOff, Running };
 
@@ -73,7 +73,7 @@
   JobName Job;
   JobClass SlotClass = JobClass::Prompt;
   Instant Started{};
-  AttemptMachine Life;
+  AttemptMachine State;
 };
 
 /// What the engine keeps for one pool's requests.
@@ -145,7 +145,7 @@
   bool pumpGranted(const PoolName &Name, PoolState &P);
   bool pumpChosen(const PoolName &Name, PoolState &P);
   bool pumpProbe(const PoolName &Name, PoolState &P);
-  const Waiting *nextChosen(const PoolName &Name, PoolState &P);
+  const QueuedRequest *nextChosen(const PoolName &Name, PoolState &P);
   WorkerState *choose(const PoolName &Name, const OpenRequest &R);
   void dispatch(OpenRequest &R, WorkerState &Worker);
   void start(OpenRequest &R, WorkerState &Worker);
--- a/Source/Placement/EngineRequests.cpp
+++ b/Source/Placement/EngineRequests.cpp
@@ -40,14 +40,15 @@
   const std::uint32_t Slots = Workers.slots(Rule->Pool) +
                               (Rule->MaySpill ? Workers.slots(SparePool) : 0);
   const PoolLoad Load{P.Queue.size(), Options.MaxQueuedPerPool,
-                      P.Queue.urgent(), double(Slots) / double(liveEntries())};
+                      P.Queue.urgentCount(),
+                      double(Slots) / double(liveEntries())};
   const std::optional<Reason> Why =
-      refusal(Asked, *Rule, *Rules->pool(Rule->Pool), Sizes, Load, Now);
+      refusalReason(Asked, *Rule, *Rules->pool(Rule->Pool), Sizes, Load, Now);
   if (Why) {
     finishNow(Asked.Id, Outcome::NotRun, *Why);
     return true;
   }
-  if (Health.ejected(Rule->Job) && !Health.admitProbe(Rule->Job, Now)) {
+  if (Health.isEjected(Rule->Job) && !Health.admitJobProbe(Rule->Job, Now)) {
     finishNow(Asked.Id, Outcome::NotRun, Reason::JobEjected);
     return true;
   }
@@ -71,7 +72,7 @@
 }
 
 void Engine::Impl::on(const RequestArrived &E) {
-  const JobRule *Rule = ruleFor(Rules.get(), E.Asked.Job);
+  const JobRule *Rule = findJobRule(Rules.get(), E.Asked.Job);
   if (joinFirst(E.Asked) || refuse(E.Asked, Rule)) {
     return;
   }
@@ -81,7 +82,7 @@
   R.Asked = E.Asked;
   R.Rule = *Rule;
   R.Deadline = Now + E.Asked.TimeLeft.value_or(Rule->Deadline);
-  R.JobProbe = Health.ejected(Rule->Job);
+  R.JobProbe = Health.isEjected(Rule->Job);
   ById.emplace(E.Asked.Id, Key);
   Timers.emplace(R.Deadline, Key);
   if (Rule->Idempotent || E.Asked.IdempotencyKey.empty()) {
@@ -159,7 +160,8 @@
   for (const AttemptId Attempt : R.Running) {
     const OpenAttempt &Open = Attempts.at(Attempt);
     if (Now - Open.Started > 2 * Sizes.runTime(R.Rule)) {
-      apply(Health.failed(Open.Host, Open.WorkerPool, R.Rule.Job, true, Now));
+      apply(Health.recordFailure(Open.Host, Open.WorkerPool, R.Rule.Job, true,
+                                 Now));
     }
   }
   cancelRunning(R);
@@ -198,7 +200,7 @@
     ByKey.erase(Named);
   }
   if (R.JobProbe) {
-    Health.undecided({}, R.Rule.Job);
+    Health.clearProbe({}, R.Rule.Job);
   }
   finishNow(R.Asked.Id, End, Why, Attempt, First);
   for (const RequestId &Repeat : R.Repeats) {
--- a/Source/Placement/EngineSlots.cpp
+++ b/Source/Placement/EngineSlots.cpp
@@ -43,10 +43,10 @@
     return;
   }
   for (auto &[Name, P] : Pools) {
-    const EntryName Scheduler = schedulerOf(Name, Live);
+    const EntryName Scheduler = electScheduler(Name, Live);
     P.Own.setScheduler(Scheduler);
     if (P.Spare) {
-      P.Spare->setScheduler(schedulerOf(SparePool, Live));
+      P.Spare->setScheduler(electScheduler(SparePool, Live));
     }
     if (Scheduler == Options.Self) {
       Schedulers.try_emplace(Name, Name);
@@ -66,10 +66,10 @@
       }
     }
     SchedulerLimits Limits;
-    Limits.PatientPercent = PatientPercent;
-    Limits.PatientFloorPercent =
-        allPromptSpills(Name) ? PatientFloorOfSpilling : PatientFloor;
-    Limits.SpillingPools = Name == SparePool ? spillingPools() : 0;
+    Limits.MaxPatientPercent = MaxPatientPercent;
+    Limits.MinPatientPercent =
+        allPromptSpills(Name) ? MinPatientPercentWithSpill : MinPatientPercent;
+    Limits.SpillingPoolCount = Name == SparePool ? spillingPools() : 0;
     Scheduler.setLimits(Limits);
     Scheduler.setWorkers(Open);
     Scheduler.setEntries(Live);
@@ -80,7 +80,7 @@
   if (const auto *Ask = std::get_if<SlotAsk>(&E.Message)) {
     const auto Found = Schedulers.find(Ask->Pool);
     if (Found != Schedulers.end()) {
-      deliver(Found->second.asked(E.From, *Ask, Now));
+      deliver(Found->second.handleRequest(E.From, *Ask, Now));
     }
   } else if (const auto *Grant = std::get_if<SlotGrant>(&E.Message)) {
     take(E.From, *Grant);
@@ -93,7 +93,7 @@
   if (OnSpare && !P.Spare) {
     return;
   }
-  (OnSpare ? *P.Spare : P.Own).granted(From, Grant, Now);
+  (OnSpare ? *P.Spare : P.Own).addGrant(From, Grant, Now);
   Dirty.insert(Grant.For.empty() ? Grant.Pool : Grant.For);
 }
 
@@ -115,18 +115,20 @@
   }
   for (const PoolName &Name : std::exchange(Touched, {})) {
     PoolState &P = pool(Name);
-    const std::uint32_t Unused = P.Own.unused();
-    const std::uint32_t Urgent = P.Queue.urgent();
+    const std::uint32_t Unused = P.Own.unusedCount();
+    const std::uint32_t Urgent = P.Queue.urgentCount();
     SlotDemand Wanted;
-    Wanted.Prompt = Urgent - std::min(Urgent, Unused);
-    Wanted.Patient = P.Queue.unaged();
+    Wanted.PromptCount = Urgent - std::min(Urgent, Unused);
+    Wanted.PatientCount = P.Queue.unagedCount();
     Wanted.EarliestDeadline = P.Queue.earliestLatestStart();
     askFor(P.Own, Name, Wanted);
     if (P.Spare) {
-      const bool Spilling = P.Own.poolFull() && Wanted.Prompt > 0;
-      const std::uint32_t Most = std::min(Wanted.Prompt, P.Queue.spillable());
-      Wanted.Prompt = Spilling ? Most - std::min(Most, P.Spare->unused()) : 0;
-      Wanted.Patient = 0;
+      const bool Spilling = P.Own.isPoolFull() && Wanted.PromptCount > 0;
+      const std::uint32_t Most =
+          std::min(Wanted.PromptCount, P.Queue.spillableCount());
+      Wanted.PromptCount =
+          Spilling ? Most - std::min(Most, P.Spare->unusedCount()) : 0;
+      Wanted.PatientCount = 0;
       askFor(*P.Spare, SparePool, Wanted);
     }
   }
@@ -136,8 +138,8 @@
 void Engine::Impl::askFor(SlotHolder &Holder, const PoolName &Target,
                           const SlotDemand &Wanted) {
   const bool Local = Holder.scheduler() == Options.Self;
-  const std::optional<SlotAsk> Ask = Holder.ask(
-      Wanted, Now, Local, [&] { return Workers.avoided(Target, Now); });
+  const std::optional<SlotAsk> Ask = Holder.requestIfDue(
+      Wanted, Now, Local, [&] { return Workers.avoidedHosts(Target, Now); });
   if (!Ask) {
     return;
   }
@@ -147,8 +149,8 @@
   }
   const auto Found = Schedulers.find(Target);
   if (Found != Schedulers.end()) {
-    deliver(Found->second.asked(Options.Self, *Ask, Now,
-                                Holder.lastAskWasChanges()));
+    deliver(Found->second.handleRequest(Options.Self, *Ask, Now,
+                                        Holder.isLastRequestDelta()));
   }
 }
 
--- a/Source/Placement/PoolQueue.cpp
+++ b/Source/Placement/PoolQueue.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Order of the waiting requests of one pool.
+/// Order of the waiting requests of one pool: lanes, team quotas and aging.
 
 #include "balsamlatch/Placement/PoolQueue.h"
 
@@ -9,173 +9,175 @@
 
 namespace {
 
-/// After this many prompt starts in a row, one patient request starts, so
-/// that patient work moves on under a lasting prompt load.
+/// One patient request starts after this many prompt starts in a row, so that
+/// sustained prompt load never starves patient work.
 constexpr std::uint32_t PromptStartsPerPatient = 15;
 
 } // namespace
 
-bool PoolQueue::Team::active() const {
-  return InUse > 0 || !Waits[Spill].empty() || !Waits[Fixed].empty() ||
-         !Waits[Patient].empty();
+bool PoolQueue::TeamState::isActive() const {
+  return SlotsInUse > 0 || !Requests[Spill].empty() ||
+         !Requests[NoSpill].empty() || !Requests[Patient].empty();
 }
 
-PoolQueue::Lane PoolQueue::laneOf(const Waiting &What) {
-  if (What.Class == JobClass::Patient) {
+PoolQueue::Lane PoolQueue::laneOf(const QueuedRequest &Waiter) {
+  if (Waiter.Class == JobClass::Patient) {
     return Patient;
   }
-  return What.MaySpill ? Spill : Fixed;
+  return Waiter.MaySpill ? Spill : NoSpill;
 }
 
 void PoolQueue::setQuota(const TeamName &Name,
                          std::optional<std::uint32_t> Slots) {
-  Team &T = teamFor(Name);
-  T.Quota = Slots;
-  rank(Name, T);
-  forgetIfIdle(Name);
+  TeamState &State = teamState(Name);
+  State.Quota = Slots;
+  updateRanks(Name, State);
+  eraseIfIdle(Name);
 }
 
-PoolQueue::Team &PoolQueue::teamFor(const TeamName &Name) {
+PoolQueue::TeamState &PoolQueue::teamState(const TeamName &Name) {
   return Teams[Name];
 }
 
-void PoolQueue::forgetIfIdle(const TeamName &Name) {
-  const auto Found = Teams.find(Name);
-  if (Found != Teams.end() && !Found->second.active() && !Found->second.Quota) {
-    Teams.erase(Found);
+void PoolQueue::eraseIfIdle(const TeamName &Name) {
+  const auto It = Teams.find(Name);
+  if (It != Teams.end() && !It->second.isActive() && !It->second.Quota) {
+    Teams.erase(It);
   }
 }
 
-void PoolQueue::push(const Waiting &What) {
-  const Lane In = laneOf(What);
-  Prompt += What.Class == JobClass::Prompt ? 1 : 0;
-  Team &T = teamFor(What.Team);
-  ActiveTeams += T.active() ? 0 : 1;
-  T.Waits[In].emplace(What.LatestStart, What.Key);
-  if (In == Patient) {
-    Ageing.emplace(What.AgesAt, What.Key);
+void PoolQueue::push(const QueuedRequest &Waiter) {
+  const Lane LaneIndex = laneOf(Waiter);
+  PromptCount += Waiter.Class == JobClass::Prompt ? 1 : 0;
+  TeamState &State = teamState(Waiter.Team);
+  ActiveTeamCount += State.isActive() ? 0 : 1;
+  State.Requests[LaneIndex].emplace(Waiter.LatestStart, Waiter.Key);
+  if (LaneIndex == Patient) {
+    AgingQueue.emplace(Waiter.AgingTime, Waiter.Key);
   }
-  Spillable += In == Spill ? 1 : 0;
-  Items.insert_or_assign(What.Key, Item{What, In});
-  rank(What.Team, T);
+  SpillableCount += LaneIndex == Spill ? 1 : 0;
+  Items.insert_or_assign(Waiter.Key, Item{Waiter, LaneIndex});
+  updateRanks(Waiter.Team, State);
 }
 
 bool PoolQueue::remove(RequestKey Key) {
-  const auto Found = Items.find(Key);
-  if (Found == Items.end()) {
+  const auto It = Items.find(Key);
+  if (It == Items.end()) {
     return false;
   }
-  const Item Gone = Found->second;
-  Items.erase(Found);
-  Team &T = teamFor(Gone.What.Team);
-  T.Waits[Gone.In].erase({Gone.What.LatestStart, Key});
-  if (Gone.In == Patient) {
-    Ageing.erase({Gone.What.AgesAt, Key});
+  const Item RemovedItem = It->second;
+  Items.erase(It);
+  TeamState &State = teamState(RemovedItem.Waiter.Team);
+  State.Requests[RemovedItem.CurrentLane].erase(
+      {RemovedItem.Waiter.LatestStart, Key});
+  if (RemovedItem.CurrentLane == Patient) {
+    AgingQueue.erase({RemovedItem.Waiter.AgingTime, Key});
   }
-  Spillable -= Gone.In == Spill ? 1 : 0;
-  Prompt -= Gone.What.Class == JobClass::Prompt ? 1 : 0;
-  rank(Gone.What.Team, T);
-  ActiveTeams -= T.active() ? 0 : 1;
-  forgetIfIdle(Gone.What.Team);
+  SpillableCount -= RemovedItem.CurrentLane == Spill ? 1 : 0;
+  PromptCount -= RemovedItem.Waiter.Class == JobClass::Prompt ? 1 : 0;
+  updateRanks(RemovedItem.Waiter.Team, State);
+  ActiveTeamCount -= State.isActive() ? 0 : 1;
+  eraseIfIdle(RemovedItem.Waiter.Team);
   return true;
 }
 
-void PoolQueue::rank(const TeamName &Name, Team &T) {
-  for (int In = 0; In < LaneCount; ++In) {
-    if (T.Ranked[In]) {
-      Ranks[In].erase(*T.Ranked[In]);
-      T.Ranked[In].reset();
+void PoolQueue::updateRanks(const TeamName &Name, TeamState &State) {
+  for (int LaneIndex = 0; LaneIndex < LaneCount; ++LaneIndex) {
+    if (State.LaneRank[LaneIndex]) {
+      Ranks[LaneIndex].erase(*State.LaneRank[LaneIndex]);
+      State.LaneRank[LaneIndex].reset();
     }
-    if (!T.Waits[In].empty()) {
-      T.Ranked[In] = Rank{beyondQuota(T), *T.Waits[In].begin(), Name};
-      Ranks[In].insert(*T.Ranked[In]);
+    if (!State.Requests[LaneIndex].empty()) {
+      State.LaneRank[LaneIndex] =
+          Rank{isOverQuota(State), *State.Requests[LaneIndex].begin(), Name};
+      Ranks[LaneIndex].insert(*State.LaneRank[LaneIndex]);
     }
   }
 }
 
-bool PoolQueue::beyondQuota(const Team &T) const {
+bool PoolQueue::isOverQuota(const TeamState &State) const {
   const std::uint32_t EqualShare =
-      std::max(1U, PoolSlots / std::max(1U, ActiveTeams));
-  return T.InUse >= T.Quota.value_or(EqualShare);
-}
-
-void PoolQueue::age(Instant Now) {
-  while (!Ageing.empty() && Ageing.begin()->first <= Now) {
-    const RequestKey Key = Ageing.begin()->second;
-    const Waiting What = Items.at(Key).What;
-    Team &T = teamFor(What.Team);
-    T.Waits[Patient].erase({What.LatestStart, Key});
-    T.Waits[Fixed].emplace(What.LatestStart, Key);
-    Items.at(Key).In = Fixed;
-    Ageing.erase(Ageing.begin());
-    rank(What.Team, T);
+      std::max(1U, PoolSlots / std::max(1U, ActiveTeamCount));
+  return State.SlotsInUse >= State.Quota.value_or(EqualShare);
+}
+
+void PoolQueue::ageRequests(Instant Now) {
+  while (!AgingQueue.empty() && AgingQueue.begin()->first <= Now) {
+    const RequestKey Key = AgingQueue.begin()->second;
+    const QueuedRequest Waiter = Items.at(Key).Waiter;
+    TeamState &State = teamState(Waiter.Team);
+    State.Requests[Patient].erase({Waiter.LatestStart, Key});
+    State.Requests[NoSpill].emplace(Waiter.LatestStart, Key);
+    Items.at(Key).CurrentLane = NoSpill;
+    AgingQueue.erase(AgingQueue.begin());
+    updateRanks(Waiter.Team, State);
   }
 }
 
-const Waiting *PoolQueue::head(Lane In) const {
-  if (Ranks[In].empty()) {
+const QueuedRequest *PoolQueue::head(Lane LaneIndex) const {
+  if (Ranks[LaneIndex].empty()) {
     return nullptr;
   }
-  return &Items.at(Ranks[In].begin()->Head.second).What;
+  return &Items.at(Ranks[LaneIndex].begin()->Head.second).Waiter;
 }
 
-const Waiting *PoolQueue::nextUrgent(Instant Now) {
-  age(Now);
-  const bool AnySpill = !Ranks[Spill].empty();
-  const bool AnyFixed = !Ranks[Fixed].empty();
-  if (AnySpill && AnyFixed) {
-    return *Ranks[Spill].begin() < *Ranks[Fixed].begin() ? head(Spill)
-                                                         : head(Fixed);
+const QueuedRequest *PoolQueue::nextUrgent(Instant Now) {
+  ageRequests(Now);
+  const bool HasSpill = !Ranks[Spill].empty();
+  const bool HasNoSpill = !Ranks[NoSpill].empty();
+  if (HasSpill && HasNoSpill) {
+    return *Ranks[Spill].begin() < *Ranks[NoSpill].begin() ? head(Spill)
+                                                           : head(NoSpill);
   }
-  return head(AnySpill ? Spill : Fixed);
+  return head(HasSpill ? Spill : NoSpill);
 }
 
-const Waiting *PoolQueue::nextPatient(Instant Now) {
-  age(Now);
+const QueuedRequest *PoolQueue::nextPatient(Instant Now) {
+  ageRequests(Now);
   return head(Patient);
 }
 
-const Waiting *PoolQueue::next(Instant Now) {
-  const Waiting *Urgent = nextUrgent(Now);
-  const bool PatientTurn = PromptInRow >= PromptStartsPerPatient;
-  if (Urgent == nullptr || (PatientTurn && !Ranks[Patient].empty())) {
+const QueuedRequest *PoolQueue::next(Instant Now) {
+  const QueuedRequest *Urgent = nextUrgent(Now);
+  const bool IsPatientTurn = PromptStartsInRow >= PromptStartsPerPatient;
+  if (Urgent == nullptr || (IsPatientTurn && !Ranks[Patient].empty())) {
     return head(Patient);
   }
   return Urgent;
 }
 
-bool PoolQueue::waitsUnaged(RequestKey Key) const {
-  const auto Found = Items.find(Key);
-  return Found != Items.end() && Found->second.In == Patient;
+bool PoolQueue::isUnaged(RequestKey Key) const {
+  const auto It = Items.find(Key);
+  return It != Items.end() && It->second.CurrentLane == Patient;
 }
 
-void PoolQueue::started(const TeamName &Name, JobClass Class) {
-  PromptInRow = Class == JobClass::Prompt ? PromptInRow + 1 : 0;
-  Team &T = teamFor(Name);
-  ActiveTeams += T.active() ? 0 : 1;
-  ++T.InUse;
-  rank(Name, T);
+void PoolQueue::acquireSlot(const TeamName &Name, JobClass Class) {
+  PromptStartsInRow = Class == JobClass::Prompt ? PromptStartsInRow + 1 : 0;
+  TeamState &State = teamState(Name);
+  ActiveTeamCount += State.isActive() ? 0 : 1;
+  ++State.SlotsInUse;
+  updateRanks(Name, State);
 }
 
-void PoolQueue::ended(const TeamName &Name) {
-  Team &T = teamFor(Name);
-  --T.InUse;
-  rank(Name, T);
-  ActiveTeams -= T.active() ? 0 : 1;
-  forgetIfIdle(Name);
+void PoolQueue::releaseSlot(const TeamName &Name) {
+  TeamState &State = teamState(Name);
+  --State.SlotsInUse;
+  updateRanks(Name, State);
+  ActiveTeamCount -= State.isActive() ? 0 : 1;
+  eraseIfIdle(Name);
 }
 
 std::optional<Instant> PoolQueue::earliestLatestStart() const {
-  std::optional<Instant> Earliest;
-  for (const Lane In : {Spill, Fixed}) {
-    for (const Rank &R : Ranks[In]) {
-      if (!Earliest || R.Head.first < *Earliest) {
-        Earliest = R.Head.first;
+  std::optional<Instant> EarliestStart;
+  for (const Lane LaneIndex : {Spill, NoSpill}) {
+    for (const Rank &R : Ranks[LaneIndex]) {
+      if (!EarliestStart || R.Head.first < *EarliestStart) {
+        EarliestStart = R.Head.first;
       }
       break;
     }
   }
-  return Earliest;
+  return EarliestStart;
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/RetryBudget.cpp
+++ b/Source/Placement/RetryBudget.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Token bucket that is filled by first attempts, and the back-off.
+/// A token bucket that first attempts refill, and the back-off.
 
 #include "balsamlatch/Placement/RetryBudget.h"
 
@@ -9,15 +9,17 @@
 
 namespace {
 
-constexpr Duration FirstBackOff = std::chrono::milliseconds(2);
-constexpr Duration LongestBackOff = std::chrono::milliseconds(500);
-constexpr unsigned MostDoublings = 8;
+constexpr Duration InitialBackOff = std::chrono::milliseconds(2);
+constexpr Duration MaxBackOff = std::chrono::milliseconds(500);
+constexpr unsigned MaxDoublings = 8;
 
 } // namespace
 
-void RetryBudget::firstAttempt() { Tokens = std::min(Most, Tokens + Share); }
+void RetryBudget::recordFirstAttempt() {
+  Tokens = std::min(MaxTokens, Tokens + TokensPerFirstAttempt);
+}
 
-bool RetryBudget::take() {
+bool RetryBudget::trySpend() {
   if (Tokens < 1) {
     return false;
   }
@@ -25,15 +27,15 @@
   return true;
 }
 
-Duration backOff(unsigned Tries, Random &Rng) {
-  if (Tries <= 1) {
+Duration backOffDelay(unsigned AttemptCount, Random &Rng) {
+  if (AttemptCount <= 1) {
     return Duration::zero();
   }
-  const unsigned Doublings = std::min(Tries - 2, MostDoublings);
-  const Duration Bound =
-      std::min(LongestBackOff, FirstBackOff * (std::int64_t(1) << Doublings));
+  const unsigned Doublings = std::min(AttemptCount - 2, MaxDoublings);
+  const Duration DelayBound =
+      std::min(MaxBackOff, InitialBackOff * (std::int64_t(1) << Doublings));
   return Duration(
-      static_cast<std::int64_t>(Rng() % std::uint64_t(Bound.count() + 1)));
+      static_cast<std::int64_t>(Rng() % std::uint64_t(DelayBound.count() + 1)));
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/SizeModel.cpp
+++ b/Source/Placement/SizeModel.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Quantiles of the last observations of each job.
+/// Quantiles over the most recent observations of each job.
 
 #include "balsamlatch/Placement/SizeModel.h"
 
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::uint64_t EnoughObservations = 16;
-constexpr Duration FreshFor = std::chrono::seconds(30);
+constexpr std::uint64_t MinObservations = 16;
+constexpr Duration FreshnessPeriod = std::chrono::seconds(30);
 /// Declared run times may be ten times too long.
-constexpr int DeclaredError = 10;
+constexpr int DeclaredRunTimeDivisor = 10;
 constexpr std::uint64_t LowPercent = 10;
 constexpr std::uint64_t HighPercent = 95;
 constexpr std::uint64_t Percent = 100;
@@ -20,60 +20,63 @@
 } // namespace
 
 void QuantileWindow::add(std::int64_t Value) {
-  Last[Count % Size] = Value;
+  Values[Count % WindowSize] = Value;
   ++Count;
-  if (Count % Refresh != 0) {
+  if (Count % RefreshInterval != 0) {
     return;
   }
-  const std::uint64_t Filled = std::min<std::uint64_t>(Count, Size);
-  std::array<std::int64_t, Size> Sorted = Last;
-  std::sort(Sorted.begin(), Sorted.begin() + std::ptrdiff_t(Filled));
-  Low = Sorted[Filled * LowPercent / Percent];
-  High = Sorted[Filled * HighPercent / Percent];
+  const std::uint64_t FilledCount = std::min<std::uint64_t>(Count, WindowSize);
+  std::array<std::int64_t, WindowSize> Sorted = Values;
+  std::sort(Sorted.begin(), Sorted.begin() + std::ptrdiff_t(FilledCount));
+  Low = Sorted[FilledCount * LowPercent / Percent];
+  High = Sorted[FilledCount * HighPercent / Percent];
 }
 
-void SizeModel::ran(const JobName &Job, Duration RunTime, Instant Now) {
-  Observed &Seen = Jobs[Job];
-  Seen.RunMicros.add(RunTime.count());
-  Seen.LastRun = Now;
+void SizeModel::recordRun(const JobName &Job, Duration RunTime, Instant Now) {
+  JobObservations &Observations = Jobs[Job];
+  Observations.RunMicros.add(RunTime.count());
+  Observations.LastRun = Now;
 }
 
-void SizeModel::used(const TaskUsage &Usage) {
-  Observed &Seen = Jobs[Usage.Job];
-  Seen.MilliCores.add(Usage.MilliCores);
-  Seen.MemoryMiB.add(Usage.MemoryMiB);
+void SizeModel::recordUsage(const TaskUsage &Usage) {
+  JobObservations &Observations = Jobs[Usage.Job];
+  Observations.MilliCores.add(Usage.MilliCores);
+  Observations.MemoryMiB.add(Usage.MemoryMiB);
 }
 
-const SizeModel::Observed *SizeModel::find(const JobName &Job) const {
-  const auto Found = Jobs.find(Job);
-  return Found == Jobs.end() ? nullptr : &Found->second;
+const SizeModel::JobObservations *SizeModel::find(const JobName &Job) const {
+  const auto It = Jobs.find(Job);
+  return It == Jobs.end() ? nullptr : &It->second;
 }
 
-bool SizeModel::knowsRunTime(const JobName &Job) const {
-  const Observed *Seen = find(Job);
-  return Seen != nullptr && Seen->RunMicros.count() >= EnoughObservations;
+bool SizeModel::hasEnoughRuns(const JobName &Job) const {
+  const JobObservations *Observations = find(Job);
+  return Observations != nullptr &&
+         Observations->RunMicros.count() >= MinObservations;
 }
 
 Duration SizeModel::runTime(const JobRule &Rule) const {
-  return knowsRunTime(Rule.Job) ? Duration(find(Rule.Job)->RunMicros.high())
-                                : Rule.RunTime;
+  return hasEnoughRuns(Rule.Job) ? Duration(find(Rule.Job)->RunMicros.high())
+                                 : Rule.RunTime;
 }
 
 Duration SizeModel::shortestRunTime(const JobRule &Rule, Instant Now) const {
-  const Observed *Seen = find(Rule.Job);
-  if (knowsRunTime(Rule.Job) && Now - Seen->LastRun < FreshFor) {
-    return Duration(Seen->RunMicros.low());
+  const JobObservations *Observations = find(Rule.Job);
+  if (hasEnoughRuns(Rule.Job) &&
+      Now - Observations->LastRun < FreshnessPeriod) {
+    return Duration(Observations->RunMicros.low());
   }
-  return Rule.RunTime / DeclaredError;
+  return Rule.RunTime / DeclaredRunTimeDivisor;
 }
 
 TaskSize SizeModel::size(const JobRule &Rule) const {
-  const Observed *Seen = find(Rule.Job);
-  if (Seen == nullptr || Seen->MilliCores.count() < EnoughObservations) {
+  const JobObservations *Observations = find(Rule.Job);
+  if (Observations == nullptr ||
+      Observations->MilliCores.count() < MinObservations) {
     return Rule.Size;
   }
-  return {static_cast<std::uint32_t>(Seen->MilliCores.high()),
-          static_cast<std::uint32_t>(Seen->MemoryMiB.high()),
+  return {static_cast<std::uint32_t>(Observations->MilliCores.high()),
+          static_cast<std::uint32_t>(Observations->MemoryMiB.high()),
           Rule.Size.Accelerators};
 }
 
--- a/Source/Placement/SlotHolder.cpp
+++ b/Source/Placement/SlotHolder.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Grants and asks of one entry for one pool.
+/// Slot requests and grants of one entry for one pool.
 
 #include "balsamlatch/Placement/SlotHolder.h"
 
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Duration RepeatAsk = std::chrono::milliseconds(20);
-constexpr Duration RefreshAsk = std::chrono::milliseconds(500);
-constexpr Duration AnswerWithin = std::chrono::milliseconds(60);
+constexpr Duration RepeatInterval = std::chrono::milliseconds(20);
+constexpr Duration RefreshInterval = std::chrono::milliseconds(500);
+constexpr Duration AnswerTimeout = std::chrono::milliseconds(60);
 
 } // namespace
 
@@ -20,151 +20,155 @@
     return;
   }
   Scheduler = Entry;
-  Heard = false;
-  LastGrant = 0;
-  LastAsk.reset();
+  SchedulerAnswered = false;
+  LastGrantNumber = 0;
+  LastRequestTime.reset();
   UnansweredSince.reset();
-  Shrunk = true;
-  for (const auto &[Host, Slots] : InUse) {
-    Changed.insert(Host);
+  HoldingsShrank = true;
+  for (const auto &[Host, Slots] : UsedSlots) {
+    ChangedHosts.insert(Host);
   }
-  for (const Unspent &U : Unused) {
-    Changed.insert(U.Host);
+  for (const UnusedGrant &Grant : UnusedGrants) {
+    ChangedHosts.insert(Grant.Host);
   }
 }
 
-void SlotHolder::granted(const EntryName &From, const SlotGrant &Grant,
-                         Instant Now) {
-  if (From != Scheduler) {
+void SlotHolder::addGrant(const EntryName &SenderEntry, const SlotGrant &Grant,
+                          Instant Now) {
+  if (SenderEntry != Scheduler) {
     return;
   }
-  Heard = true;
+  SchedulerAnswered = true;
   UnansweredSince.reset();
-  Free = Grant.Free;
-  LastGrant = std::max(LastGrant, Grant.Number);
+  PoolFreeSlots = Grant.Free;
+  LastGrantNumber = std::max(LastGrantNumber, Grant.Number);
   if (Grant.Slots > 0) {
-    Changed.insert(Grant.Host);
+    ChangedHosts.insert(Grant.Host);
   }
   for (std::uint32_t I = 0; I < Grant.Slots; ++I) {
-    Unused.push_back({Grant.Host, Grant.Class, Now + Grant.ValidFor});
+    UnusedGrants.push_back({Grant.Host, Grant.Class, Now + Grant.ValidFor});
   }
 }
 
-void SlotHolder::lapse(Instant Now) {
-  Unused.remove_if([&](const Unspent &U) {
-    const bool Void = U.VoidAt <= Now;
-    if (Void) {
-      Changed.insert(U.Host);
-      Shrunk = true;
+void SlotHolder::dropExpiredGrants(Instant Now) {
+  UnusedGrants.remove_if([&](const UnusedGrant &Grant) {
+    const bool IsExpired = Grant.Expiry <= Now;
+    if (IsExpired) {
+      ChangedHosts.insert(Grant.Host);
+      HoldingsShrank = true;
     }
-    return Void;
+    return IsExpired;
   });
 }
 
 std::optional<HostName>
-SlotHolder::take(JobClass Class, Instant Now,
-                 const std::function<bool(const HostName &)> &Suits) {
-  lapse(Now);
-  const auto Found =
-      std::find_if(Unused.begin(), Unused.end(), [&](const Unspent &U) {
-        return U.Class == Class && Suits(U.Host);
+SlotHolder::takeGrant(JobClass Class, Instant Now,
+                      const std::function<bool(const HostName &)> &IsSuitable) {
+  dropExpiredGrants(Now);
+  const auto It = std::find_if(
+      UnusedGrants.begin(), UnusedGrants.end(), [&](const UnusedGrant &Grant) {
+        return Grant.Class == Class && IsSuitable(Grant.Host);
       });
-  if (Found == Unused.end()) {
+  if (It == UnusedGrants.end()) {
     return std::nullopt;
   }
-  HostName Host = std::move(Found->Host);
-  Unused.erase(Found);
+  HostName Host = std::move(It->Host);
+  UnusedGrants.erase(It);
   return Host;
 }
 
-void SlotHolder::started(const HostName &Host, JobClass Class) {
-  ++InUse[Host];
-  Changed.insert(Host);
-  PatientInUse += Class == JobClass::Patient ? 1 : 0;
+void SlotHolder::acquireSlot(const HostName &Host, JobClass Class) {
+  ++UsedSlots[Host];
+  ChangedHosts.insert(Host);
+  PatientUsedSlots += Class == JobClass::Patient ? 1 : 0;
 }
 
-void SlotHolder::ended(const HostName &Host, JobClass Class) {
-  Changed.insert(Host);
-  const auto Found = InUse.find(Host);
-  if (--Found->second == 0) {
-    InUse.erase(Found);
+void SlotHolder::releaseSlot(const HostName &Host, JobClass Class) {
+  ChangedHosts.insert(Host);
+  const auto It = UsedSlots.find(Host);
+  if (--It->second == 0) {
+    UsedSlots.erase(It);
   }
-  PatientInUse -= Class == JobClass::Patient ? 1 : 0;
-  Shrunk = true;
+  PatientUsedSlots -= Class == JobClass::Patient ? 1 : 0;
+  HoldingsShrank = true;
 }
 
-std::optional<SlotAsk>
-SlotHolder::ask(const SlotDemand &Wanted, Instant Now, bool OnlyChanges,
-                const std::function<std::vector<HostName>()> &Avoid) {
-  lapse(Now);
-  const bool Wants = Wanted.Prompt > 0 || Wanted.Patient > 0;
-  const bool Holds = !idle();
-  const bool Grew =
-      Wanted.Prompt > LastDemand.Prompt || Wanted.Patient > LastDemand.Patient;
-  const Duration Since = LastAsk ? Now - *LastAsk : Duration::max();
-  const bool Due = Shrunk || Grew || (Wants && Since >= RepeatAsk) ||
-                   (Holds && Since >= RefreshAsk);
-  // One ask at a time; its answer brings the next one about.
-  const bool Outstanding = UnansweredSince && Since < RepeatAsk;
-  if (Scheduler.empty() || !Due || Outstanding ||
-      (!Wants && !Holds && !LastAsk)) {
+std::optional<SlotAsk> SlotHolder::requestIfDue(
+    const SlotDemand &Demand, Instant Now, bool AllowDelta,
+    const std::function<std::vector<HostName>()> &AvoidedWorkers) {
+  dropExpiredGrants(Now);
+  const bool HasDemand = Demand.PromptCount > 0 || Demand.PatientCount > 0;
+  const bool HasSlots = !isIdle();
+  const bool DemandGrew = Demand.PromptCount > LastDemand.PromptCount ||
+                          Demand.PatientCount > LastDemand.PatientCount;
+  const Duration SinceLastRequest =
+      LastRequestTime ? Now - *LastRequestTime : Duration::max();
+  const bool IsDue = HoldingsShrank || DemandGrew ||
+                     (HasDemand && SinceLastRequest >= RepeatInterval) ||
+                     (HasSlots && SinceLastRequest >= RefreshInterval);
+  // One request at a time; its answer triggers the next one.
+  const bool IsOutstanding =
+      UnansweredSince && SinceLastRequest < RepeatInterval;
+  if (Scheduler.empty() || !IsDue || IsOutstanding ||
+      (!HasDemand && !HasSlots && !LastRequestTime)) {
     return std::nullopt;
   }
-  SlotAsk Ask = compose(Wanted, Now, OnlyChanges);
-  Ask.Avoid = Avoid();
-  return Ask;
+  SlotAsk Message = buildRequest(Demand, Now, AllowDelta);
+  Message.Avoid = AvoidedWorkers();
+  return Message;
 }
 
-std::uint32_t SlotHolder::held(const HostName &Host) const {
-  const auto Using = InUse.find(Host);
-  const auto Waiting =
-      std::count_if(Unused.begin(), Unused.end(),
-                    [&](const Unspent &U) { return U.Host == Host; });
-  return (Using == InUse.end() ? 0 : Using->second) +
-         static_cast<std::uint32_t>(Waiting);
+std::uint32_t SlotHolder::countHeld(const HostName &Host) const {
+  const auto UsedIt = UsedSlots.find(Host);
+  const auto UnusedCount = std::count_if(
+      UnusedGrants.begin(), UnusedGrants.end(),
+      [&](const UnusedGrant &Grant) { return Grant.Host == Host; });
+  return (UsedIt == UsedSlots.end() ? 0 : UsedIt->second) +
+         static_cast<std::uint32_t>(UnusedCount);
 }
 
-SlotAsk SlotHolder::compose(const SlotDemand &Wanted, Instant Now,
-                            bool OnlyChanges) {
-  AskedChanges = OnlyChanges && LastAsk && Now - *LastAsk < RefreshAsk;
-  LastAsk = Now;
-  LastDemand = Wanted;
-  Shrunk = false;
+SlotAsk SlotHolder::buildRequest(const SlotDemand &Demand, Instant Now,
+                                 bool AllowDelta) {
+  LastRequestWasDelta =
+      AllowDelta && LastRequestTime && Now - *LastRequestTime < RefreshInterval;
+  LastRequestTime = Now;
+  LastDemand = Demand;
+  HoldingsShrank = false;
   UnansweredSince = UnansweredSince.value_or(Now);
-  SlotAsk Ask;
-  Ask.PatientInUse = PatientInUse;
-  for (const Unspent &U : Unused) {
-    Ask.PatientInUse += U.Class == JobClass::Patient ? 1 : 0;
+  SlotAsk Message;
+  Message.PatientInUse = PatientUsedSlots;
+  for (const UnusedGrant &Grant : UnusedGrants) {
+    Message.PatientInUse += Grant.Class == JobClass::Patient ? 1 : 0;
   }
-  Ask.Pool = Pool;
-  Ask.For = For;
-  Ask.Prompt = Wanted.Prompt;
-  Ask.Patient = Wanted.Patient;
-  if (Wanted.EarliestDeadline) {
-    Ask.EarliestDeadline =
-        std::max(Duration(1), *Wanted.EarliestDeadline - Now);
+  Message.Pool = Pool;
+  Message.For = QueuePool;
+  Message.Prompt = Demand.PromptCount;
+  Message.Patient = Demand.PatientCount;
+  if (Demand.EarliestDeadline) {
+    Message.EarliestDeadline =
+        std::max(Duration(1), *Demand.EarliestDeadline - Now);
   }
-  if (!AskedChanges) {
-    Changed.clear();
-    for (const auto &[Host, Slots] : InUse) {
-      Changed.insert(Host);
+  if (!LastRequestWasDelta) {
+    ChangedHosts.clear();
+    for (const auto &[Host, Slots] : UsedSlots) {
+      ChangedHosts.insert(Host);
     }
-    for (const Unspent &U : Unused) {
-      Changed.insert(U.Host);
+    for (const UnusedGrant &Grant : UnusedGrants) {
+      ChangedHosts.insert(Grant.Host);
     }
   }
-  for (const HostName &Host : Changed) {
-    Ask.InUse.emplace_back(Host, held(Host));
+  for (const HostName &Host : ChangedHosts) {
+    Message.InUse.emplace_back(Host, countHeld(Host));
   }
-  Changed.clear();
-  Ask.Sequence = ++Sequence;
-  Ask.LastGrant = LastGrant;
-  return Ask;
+  ChangedHosts.clear();
+  Message.Sequence = ++Sequence;
+  Message.LastGrant = LastGrantNumber;
+  return Message;
 }
 
-bool SlotHolder::unanswered(Instant Now) const {
+bool SlotHolder::isUnanswered(Instant Now) const {
   return Scheduler.empty() ||
-         (UnansweredSince && Now - *UnansweredSince >= AnswerWithin);
+         (UnansweredSince && Now - *UnansweredSince >= AnswerTimeout);
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/SlotScheduler.cpp
+++ b/Source/Placement/SlotScheduler.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Who gets the next slot, and on which worker.
+/// Selects the requester that gets the next slot, and the worker that the slot
+/// is on.
 
 #include "balsamlatch/Placement/SlotScheduler.h"
 
@@ -10,16 +11,17 @@
 
 namespace {
 
-/// A grant is to be used at once; arrivals of the next moment may use it too.
-constexpr Duration GrantValidFor = std::chrono::milliseconds(50);
-/// A grant that no ask confirmed counts as held for this long.
-constexpr Duration GrantVoidAfter = std::chrono::milliseconds(300);
-/// What an entry held is forgotten when it was silent for this long.
-constexpr Duration EntryForgottenAfter = std::chrono::seconds(3);
+/// An entry uses a grant at once, or for a request that arrives within this
+/// time.
+constexpr Duration GrantValidity = std::chrono::milliseconds(50);
+/// A grant that no request confirmed counts as held for this long.
+constexpr Duration PendingGrantLifetime = std::chrono::milliseconds(300);
+/// The holdings of an entry are dropped after this time without a request.
+constexpr Duration RequesterTimeout = std::chrono::seconds(3);
 constexpr Duration PeakHalfLife = std::chrono::minutes(2);
 constexpr std::uint32_t PromptGrantsPerPatient = 15;
-constexpr std::uint32_t AvoidersForAll = 2;
-constexpr std::size_t MostAvoidedDivisor = 3;
+constexpr std::uint32_t MinAvoidersToExclude = 2;
+constexpr std::size_t MaxExcludedDivisor = 3;
 constexpr std::uint32_t Percent = 100;
 
 std::uint64_t fnv1a(const std::string &Text, std::uint64_t Hash) {
@@ -29,7 +31,7 @@
   return Hash;
 }
 
-/// Spreads the bits of a hash over the whole word.
+/// Finalizer of MurmurHash3: spreads the bits of a hash over the whole word.
 std::uint64_t mix(std::uint64_t Hash) {
   Hash = (Hash ^ (Hash >> 33)) * 0xff51afd7ed558ccdULL;
   Hash = (Hash ^ (Hash >> 33)) * 0xc4ceb9fe1a85ec53ULL;
@@ -38,352 +40,370 @@
 
 } // namespace
 
-EntryName schedulerOf(const PoolName &Pool,
-                      const std::vector<EntryName> &Live) {
-  EntryName Best;
+EntryName electScheduler(const PoolName &Pool,
+                         const std::vector<EntryName> &LiveEntries) {
+  EntryName BestEntry;
   std::uint64_t BestWeight = 0;
-  for (const EntryName &Entry : Live) {
+  for (const EntryName &Entry : LiveEntries) {
     const std::uint64_t Weight =
         mix(fnv1a(Entry.Text, fnv1a(Pool.Text, 0xcbf29ce484222325ULL)));
-    if (Best.empty() || Weight > BestWeight ||
-        (Weight == BestWeight && Entry < Best)) {
-      Best = Entry;
+    if (BestEntry.empty() || Weight > BestWeight ||
+        (Weight == BestWeight && Entry < BestEntry)) {
+      BestEntry = Entry;
       BestWeight = Weight;
     }
   }
-  return Best;
+  return BestEntry;
 }
 
-void SlotScheduler::rank(const HostName &Host, Worker &W, bool Insert) {
-  const Rank Key(W.Held, W.LastGrant, Host);
-  if (!Insert) {
-    Open.erase(Key);
-  } else if (W.Known && W.Held < W.Slots) {
-    Open.insert(Key);
+void SlotScheduler::updateOpenWorkers(const HostName &Host, Worker &W,
+                                      bool IsInsert) {
+  const WorkerRank Key(W.Held, W.LastGrantRound, Host);
+  if (!IsInsert) {
+    OpenWorkers.erase(Key);
+  } else if (W.IsListed && W.Held < W.Slots) {
+    OpenWorkers.insert(Key);
   }
 }
 
-void SlotScheduler::setWorkers(const std::vector<WorkerSlots> &Given) {
-  Open.clear();
+void SlotScheduler::setWorkers(const std::vector<WorkerSlots> &NewWorkers) {
+  OpenWorkers.clear();
   TotalSlots = 0;
-  Held = 0;
+  TotalHeld = 0;
   for (auto &[Host, W] : Workers) {
-    W.Known = false;
+    W.IsListed = false;
   }
-  for (const WorkerSlots &Item : Given) {
+  for (const WorkerSlots &Item : NewWorkers) {
     Worker &W = Workers[Item.Host];
-    W.Known = true;
+    W.IsListed = true;
     W.Slots = Item.Slots;
     TotalSlots += Item.Slots;
-    Held += W.Held;
-    rank(Item.Host, W, true);
+    TotalHeld += W.Held;
+    updateOpenWorkers(Item.Host, W, true);
   }
   std::erase_if(Workers, [](const auto &Item) {
-    return !Item.second.Known && Item.second.Held == 0;
+    return !Item.second.IsListed && Item.second.Held == 0;
   });
 }
 
-void SlotScheduler::hold(const HostName &Host, std::uint32_t Slots) {
+void SlotScheduler::addHeld(const HostName &Host, std::uint32_t Slots) {
   Worker &W = Workers[Host];
-  rank(Host, W, false);
+  updateOpenWorkers(Host, W, false);
   W.Held += Slots;
-  Held += W.Known ? Slots : 0;
-  rank(Host, W, true);
+  TotalHeld += W.IsListed ? Slots : 0;
+  updateOpenWorkers(Host, W, true);
 }
 
-void SlotScheduler::drop(const HostName &Host, std::uint32_t Slots) {
-  const auto Found = Workers.find(Host);
-  if (Found == Workers.end()) {
+void SlotScheduler::removeHeld(const HostName &Host, std::uint32_t Slots) {
+  const auto It = Workers.find(Host);
+  if (It == Workers.end()) {
     return;
   }
-  Worker &W = Found->second;
-  rank(Host, W, false);
+  Worker &W = It->second;
+  updateOpenWorkers(Host, W, false);
   W.Held -= std::min(W.Held, Slots);
-  Held -= W.Known ? std::min(Held, Slots) : 0;
-  rank(Host, W, true);
+  TotalHeld -= W.IsListed ? std::min(TotalHeld, Slots) : 0;
+  updateOpenWorkers(Host, W, true);
 }
 
-void SlotScheduler::setHold(Asker &A, const HostName &Host,
+void SlotScheduler::setHeld(Requester &R, const HostName &Host,
                             std::uint32_t Slots) {
-  std::uint32_t &Has = A.Holds[Host];
-  if (Slots > Has) {
-    hold(Host, Slots - Has);
-  } else if (Slots < Has) {
-    drop(Host, Has - Slots);
+  std::uint32_t &HeldCount = R.HeldByHost[Host];
+  if (Slots > HeldCount) {
+    addHeld(Host, Slots - HeldCount);
+  } else if (Slots < HeldCount) {
+    removeHeld(Host, HeldCount - Slots);
   }
-  A.HoldsTotal = A.HoldsTotal + Slots - Has;
-  Has = Slots;
+  R.HeldTotal = R.HeldTotal + Slots - HeldCount;
+  HeldCount = Slots;
   if (Slots == 0) {
-    A.Holds.erase(Host);
+    R.HeldByHost.erase(Host);
   }
 }
 
-void SlotScheduler::uncount(const AskerId &Who, const Asker &A) {
-  HeldFor[Who.second] -= A.PromptHeld + A.PatientHeld;
-  PatientHeld -= A.PatientHeld;
+void SlotScheduler::subtractTotals(const RequesterId &Id, const Requester &R) {
+  HeldByPool[Id.second] -= R.PromptHeld + R.PatientHeld;
+  PatientHeld -= R.PatientHeld;
 }
 
-void SlotScheduler::forget(const AskerId &Who, const Asker &Gone) {
-  for (const auto &[Host, Slots] : Gone.Holds) {
-    drop(Host, Slots);
+void SlotScheduler::releaseRequester(const RequesterId &Id,
+                                     const Requester &R) {
+  for (const auto &[Host, Slots] : R.HeldByHost) {
+    removeHeld(Host, Slots);
   }
-  for (const Pending &Grant : Gone.Sent) {
-    drop(Grant.Host, Grant.Slots);
+  for (const PendingGrant &Grant : R.PendingGrants) {
+    removeHeld(Grant.Host, Grant.Slots);
   }
-  uncount(Who, Gone);
-  noteAvoided(Gone, {});
+  subtractTotals(Id, R);
+  updateAvoiders(R, {});
 }
 
-void SlotScheduler::setEntries(const std::vector<EntryName> &Live) {
-  for (auto Item = Askers.begin(); Item != Askers.end();) {
+void SlotScheduler::setEntries(const std::vector<EntryName> &LiveEntries) {
+  for (auto Item = Requesters.begin(); Item != Requesters.end();) {
     const EntryName &Entry = Item->first.first;
-    if (std::find(Live.begin(), Live.end(), Entry) != Live.end()) {
+    if (std::find(LiveEntries.begin(), LiveEntries.end(), Entry) !=
+        LiveEntries.end()) {
       ++Item;
       continue;
     }
-    forget(Item->first, Item->second);
-    Item = Askers.erase(Item);
+    releaseRequester(Item->first, Item->second);
+    Item = Requesters.erase(Item);
   }
 }
 
-/// Sums up what the asker holds and still wants.
-void SlotScheduler::count(Asker &A, const SlotAsk &Ask) {
-  A.PatientHeld = std::min(Ask.PatientInUse, A.HoldsTotal);
-  A.PromptHeld = A.HoldsTotal - A.PatientHeld;
-  A.Prompt = Ask.Prompt;
-  A.Patient = Ask.Patient;
-  for (const Pending &Grant : A.Sent) {
+/// Updates the held and wanted slots of each class from the request and the
+/// pending grants.
+void SlotScheduler::updateDemand(Requester &R, const SlotAsk &Message) {
+  R.PatientHeld = std::min(Message.PatientInUse, R.HeldTotal);
+  R.PromptHeld = R.HeldTotal - R.PatientHeld;
+  R.PromptWanted = Message.Prompt;
+  R.PatientWanted = Message.Patient;
+  for (const PendingGrant &Grant : R.PendingGrants) {
     const bool IsPatient = Grant.Class == JobClass::Patient;
-    std::uint32_t &HeldOfClass = IsPatient ? A.PatientHeld : A.PromptHeld;
-    std::uint32_t &Wanted = IsPatient ? A.Patient : A.Prompt;
+    std::uint32_t &HeldOfClass = IsPatient ? R.PatientHeld : R.PromptHeld;
+    std::uint32_t &WantedOfClass = IsPatient ? R.PatientWanted : R.PromptWanted;
     HeldOfClass += Grant.Slots;
-    Wanted -= std::min(Wanted, Grant.Slots);
+    WantedOfClass -= std::min(WantedOfClass, Grant.Slots);
   }
 }
 
-SlotScheduler::Grants SlotScheduler::asked(const EntryName &From,
-                                           const SlotAsk &Ask, Instant Now,
-                                           bool OnlyChanges) {
-  const AskerId Who(From, Ask.For.empty() ? Pool : Ask.For);
-  Asker &A = Askers[Who];
-  Grants Out;
-  if (Ask.Sequence < A.Sequence) {
-    return Out;
+SlotScheduler::Grants SlotScheduler::handleRequest(const EntryName &SenderEntry,
+                                                   const SlotAsk &Message,
+                                                   Instant Now, bool IsDelta) {
+  const RequesterId Id(SenderEntry, Message.For.empty() ? Pool : Message.For);
+  Requester &R = Requesters[Id];
+  Grants NewGrants;
+  if (Message.Sequence < R.Sequence) {
+    return NewGrants;
   }
-  uncount(Who, A);
-  std::erase_if(A.Sent, [&](const Pending &Grant) {
-    const bool Over = Grant.Number <= Ask.LastGrant || Grant.VoidAt <= Now;
-    if (Over) {
-      drop(Grant.Host, Grant.Slots);
+  subtractTotals(Id, R);
+  std::erase_if(R.PendingGrants, [&](const PendingGrant &Grant) {
+    const bool IsResolved =
+        Grant.Number <= Message.LastGrant || Grant.Expiry <= Now;
+    if (IsResolved) {
+      removeHeld(Grant.Host, Grant.Slots);
     }
-    return Over;
+    return IsResolved;
   });
-  if (!OnlyChanges) {
-    const std::map<HostName, std::uint32_t> Holding(Ask.InUse.begin(),
-                                                    Ask.InUse.end());
-    const auto Before = A.Holds;
-    for (const auto &[Host, Slots] : Before) {
-      if (!Holding.contains(Host)) {
-        setHold(A, Host, 0);
+  if (!IsDelta) {
+    const std::map<HostName, std::uint32_t> ReportedHolds(Message.InUse.begin(),
+                                                          Message.InUse.end());
+    const auto PreviousHolds = R.HeldByHost;
+    for (const auto &[Host, Slots] : PreviousHolds) {
+      if (!ReportedHolds.contains(Host)) {
+        setHeld(R, Host, 0);
       }
     }
   }
-  for (const auto &[Host, Slots] : Ask.InUse) {
-    setHold(A, Host, Slots);
+  for (const auto &[Host, Slots] : Message.InUse) {
+    setHeld(R, Host, Slots);
   }
-  A.Sequence = Ask.Sequence;
-  noteAvoided(A, Ask.Avoid);
-  A.Avoid = Ask.Avoid;
-  A.At = Now;
-  A.Deadline = Now + Ask.EarliestDeadline;
-  count(A, Ask);
-  HeldFor[Who.second] += A.PromptHeld + A.PatientHeld;
-  PatientHeld += A.PatientHeld;
-  notePeak(Now);
-  distribute(Now, Out);
-  const bool Heard = std::any_of(Out.begin(), Out.end(), [&](const auto &Sent) {
-    return Sent.first == From && Sent.second.For == Who.second;
-  });
-  if (!Heard) {
-    Out.emplace_back(From, SlotGrant{Pool,
-                                     {},
-                                     0,
-                                     {},
-                                     Who.second,
-                                     JobClass::Prompt,
-                                     ++LastNumber,
-                                     free()});
+  R.Sequence = Message.Sequence;
+  updateAvoiders(R, Message.Avoid);
+  R.AvoidList = Message.Avoid;
+  R.LastRequestTime = Now;
+  R.Deadline = Now + Message.EarliestDeadline;
+  updateDemand(R, Message);
+  HeldByPool[Id.second] += R.PromptHeld + R.PatientHeld;
+  PatientHeld += R.PatientHeld;
+  updatePromptPeak(Now);
+  distributeSlots(Now, NewGrants);
+  const bool HasGrantForSender =
+      std::any_of(NewGrants.begin(), NewGrants.end(), [&](const auto &Item) {
+        return Item.first == SenderEntry && Item.second.For == Id.second;
+      });
+  if (!HasGrantForSender) {
+    NewGrants.emplace_back(SenderEntry, SlotGrant{Pool,
+                                                  {},
+                                                  0,
+                                                  {},
+                                                  Id.second,
+                                                  JobClass::Prompt,
+                                                  ++LastGrantNumber,
+                                                  freeSlots()});
   }
-  return Out;
+  return NewGrants;
 }
 
 SlotScheduler::Grants SlotScheduler::tick(Instant Now) {
-  for (auto Item = Askers.begin(); Item != Askers.end();) {
-    Asker &A = Item->second;
-    if (Now - A.At > EntryForgottenAfter) {
-      forget(Item->first, A);
-      Item = Askers.erase(Item);
+  for (auto Item = Requesters.begin(); Item != Requesters.end();) {
+    Requester &R = Item->second;
+    if (Now - R.LastRequestTime > RequesterTimeout) {
+      releaseRequester(Item->first, R);
+      Item = Requesters.erase(Item);
       continue;
     }
-    std::erase_if(A.Sent, [&](const Pending &Grant) {
-      if (Grant.VoidAt > Now) {
+    std::erase_if(R.PendingGrants, [&](const PendingGrant &Grant) {
+      if (Grant.Expiry > Now) {
         return false;
       }
-      drop(Grant.Host, Grant.Slots);
+      removeHeld(Grant.Host, Grant.Slots);
       const bool IsPatient = Grant.Class == JobClass::Patient;
-      (IsPatient ? A.PatientHeld : A.PromptHeld) -= Grant.Slots;
+      (IsPatient ? R.PatientHeld : R.PromptHeld) -= Grant.Slots;
       PatientHeld -= IsPatient ? Grant.Slots : 0;
-      HeldFor[Item->first.second] -= Grant.Slots;
+      HeldByPool[Item->first.second] -= Grant.Slots;
       return true;
     });
     ++Item;
   }
-  Grants Out;
-  distribute(Now, Out);
-  return Out;
+  Grants NewGrants;
+  distributeSlots(Now, NewGrants);
+  return NewGrants;
 }
 
-bool SlotScheduler::patientAllowed() const {
-  const double Left = double(TotalSlots) - PromptPeak;
-  const double Floor =
-      double(TotalSlots * Limits.PatientFloorPercent) / Percent;
-  const double Most = double(TotalSlots * Limits.PatientPercent) / Percent;
-  return PatientHeld < std::clamp(Left, std::min(Floor, Most), Most);
+bool SlotScheduler::mayGrantPatient() const {
+  const double NonPeakSlots = double(TotalSlots) - PromptPeak;
+  const double MinSlots =
+      double(TotalSlots * Limits.MinPatientPercent) / Percent;
+  const double MaxSlots =
+      double(TotalSlots * Limits.MaxPatientPercent) / Percent;
+  return PatientHeld <
+         std::clamp(NonPeakSlots, std::min(MinSlots, MaxSlots), MaxSlots);
 }
 
-/// The peak halves over PeakHalfLife unless demand reaches it again.
-void SlotScheduler::notePeak(Instant Now) {
+/// The peak decays with PeakHalfLife unless demand reaches it again.
+void SlotScheduler::updatePromptPeak(Instant Now) {
   double Demand = 0;
-  for (const auto &[Who, A] : Askers) {
-    Demand += Who.second == Pool ? A.PromptHeld + A.Prompt : 0;
+  for (const auto &[Id, R] : Requesters) {
+    Demand += Id.second == Pool ? R.PromptHeld + R.PromptWanted : 0;
   }
-  const double Ages =
-      std::chrono::duration<double>(Now - PeakAt) / PeakHalfLife;
-  PeakAt = Now;
+  const double HalfLives =
+      std::chrono::duration<double>(Now - PeakTime) / PeakHalfLife;
+  PeakTime = Now;
   PromptPeak = std::max(std::min(Demand, double(TotalSlots)),
-                        PromptPeak * std::exp2(-Ages));
+                        PromptPeak * std::exp2(-HalfLives));
 }
 
-/// A pool that spills leaves the reserve of each other one alone.
-bool SlotScheduler::spillAllowed(const PoolName &For) const {
-  if (For == Pool) {
+/// A pool that spills must leave the reserve of each other spilling pool free.
+bool SlotScheduler::mayGrantTo(const PoolName &QueuePool) const {
+  if (QueuePool == Pool) {
     return true;
   }
-  const std::uint32_t Others = std::max(1U, Limits.SpillingPools) - 1;
+  const std::uint32_t OtherPools = std::max(1U, Limits.SpillingPoolCount) - 1;
   const std::uint32_t Reserve =
-      Others * std::max(1U, TotalSlots * Limits.ReservePercent / Percent);
-  const auto Has = HeldFor.find(For);
-  return (Has == HeldFor.end() ? 0 : Has->second) + Reserve < TotalSlots;
+      OtherPools * std::max(1U, TotalSlots * Limits.ReservePercent / Percent);
+  const auto HeldIt = HeldByPool.find(QueuePool);
+  return (HeldIt == HeldByPool.end() ? 0 : HeldIt->second) + Reserve <
+         TotalSlots;
 }
 
-std::map<SlotScheduler::AskerId, SlotScheduler::Asker>::iterator
-SlotScheduler::nextPrompt() {
-  auto Best = Askers.end();
-  for (auto Item = Askers.begin(); Item != Askers.end(); ++Item) {
-    if (Item->second.Prompt == 0 || !spillAllowed(Item->first.second)) {
+std::map<SlotScheduler::RequesterId, SlotScheduler::Requester>::iterator
+SlotScheduler::nextPromptRequester() {
+  auto BestIt = Requesters.end();
+  for (auto Item = Requesters.begin(); Item != Requesters.end(); ++Item) {
+    if (Item->second.PromptWanted == 0 || !mayGrantTo(Item->first.second)) {
       continue;
     }
-    // Among pools that share the spare, the one that holds least comes first.
-    const auto Key = [&](const auto &I) {
-      return std::make_tuple(HeldFor[I->first.second], I->second.Deadline,
-                             I->second.PromptHeld);
+    // Among pools that share the spare pool, the one with the fewest held slots
+    // comes first.
+    const auto SortKey = [&](const auto &It) {
+      return std::make_tuple(HeldByPool[It->first.second], It->second.Deadline,
+                             It->second.PromptHeld);
     };
-    if (Best == Askers.end() || Key(Item) < Key(Best)) {
-      Best = Item;
+    if (BestIt == Requesters.end() || SortKey(Item) < SortKey(BestIt)) {
+      BestIt = Item;
     }
   }
-  return Best;
+  return BestIt;
 }
 
-std::map<SlotScheduler::AskerId, SlotScheduler::Asker>::iterator
-SlotScheduler::nextPatient() {
-  auto Best = Askers.end();
-  for (auto Item = Askers.begin(); Item != Askers.end(); ++Item) {
-    if (Item->second.Patient > 0 &&
-        (Best == Askers.end() ||
-         Item->second.PatientHeld < Best->second.PatientHeld)) {
-      Best = Item;
+std::map<SlotScheduler::RequesterId, SlotScheduler::Requester>::iterator
+SlotScheduler::nextPatientRequester() {
+  auto BestIt = Requesters.end();
+  for (auto Item = Requesters.begin(); Item != Requesters.end(); ++Item) {
+    if (Item->second.PatientWanted > 0 &&
+        (BestIt == Requesters.end() ||
+         Item->second.PatientHeld < BestIt->second.PatientHeld)) {
+      BestIt = Item;
     }
   }
-  return Best;
+  return BestIt;
 }
 
-void SlotScheduler::noteAvoided(const Asker &A,
-                                const std::vector<HostName> &Avoid) {
-  for (const HostName &Host : A.Avoid) {
-    const auto Found = Avoiders.find(Host);
-    if (Found != Avoiders.end() && --Found->second == 0) {
-      Avoiders.erase(Found);
+void SlotScheduler::updateAvoiders(const Requester &R,
+                                   const std::vector<HostName> &AvoidList) {
+  for (const HostName &Host : R.AvoidList) {
+    const auto It = AvoiderCounts.find(Host);
+    if (It != AvoiderCounts.end() && --It->second == 0) {
+      AvoiderCounts.erase(It);
     }
   }
-  for (const HostName &Host : Avoid) {
-    ++Avoiders[Host];
+  for (const HostName &Host : AvoidList) {
+    ++AvoiderCounts[Host];
   }
 }
 
-/// What several askers avoid is kept from all, so that not each of them has
-/// to learn it; never more than a part of the pool.
-bool SlotScheduler::avoidedByAll(const HostName &Host) const {
-  const auto Found = Avoiders.find(Host);
-  return Found != Avoiders.end() && Found->second >= AvoidersForAll &&
-         Avoiders.size() * MostAvoidedDivisor <= Workers.size();
+/// Excludes a host for all requesters once several avoid it, so that not each
+/// of them has to fail on it first; no host is excluded if too large a part of
+/// the pool is avoided.
+bool SlotScheduler::isExcluded(const HostName &Host) const {
+  const auto It = AvoiderCounts.find(Host);
+  return It != AvoiderCounts.end() && It->second >= MinAvoidersToExclude &&
+         AvoiderCounts.size() * MaxExcludedDivisor <= Workers.size();
 }
 
-const HostName *SlotScheduler::pick(const Asker &A) const {
-  for (const Rank &R : Open) {
-    const HostName &Host = std::get<HostName>(R);
-    if (!avoidedByAll(Host) &&
-        std::find(A.Avoid.begin(), A.Avoid.end(), Host) == A.Avoid.end()) {
+const HostName *SlotScheduler::pickWorker(const Requester &R) const {
+  for (const WorkerRank &Candidate : OpenWorkers) {
+    const HostName &Host = std::get<HostName>(Candidate);
+    if (!isExcluded(Host) && std::find(R.AvoidList.begin(), R.AvoidList.end(),
+                                       Host) == R.AvoidList.end()) {
       return &Host;
     }
   }
   return nullptr;
 }
 
-void SlotScheduler::distribute(Instant Now, Grants &Out) {
-  // Bounds the work of one event; the next ask or tick goes on.
-  for (std::uint32_t Round = 0; Round < TotalSlots && !Open.empty(); ++Round) {
-    auto Patient = patientAllowed() ? nextPatient() : Askers.end();
-    auto Next = nextPrompt();
-    const bool PatientTurn =
-        Patient != Askers.end() &&
-        (Next == Askers.end() || PromptInRow >= PromptGrantsPerPatient);
-    Next = PatientTurn ? Patient : Next;
-    if (Next == Askers.end()) {
+void SlotScheduler::distributeSlots(Instant Now, Grants &NewGrants) {
+  // Bounds the work of one event; the next request or tick continues.
+  for (std::uint32_t Round = 0; Round < TotalSlots && !OpenWorkers.empty();
+       ++Round) {
+    auto PatientIt =
+        mayGrantPatient() ? nextPatientRequester() : Requesters.end();
+    auto NextIt = nextPromptRequester();
+    const bool IsPatientTurn = PatientIt != Requesters.end() &&
+                               (NextIt == Requesters.end() ||
+                                PromptGrantsInRow >= PromptGrantsPerPatient);
+    NextIt = IsPatientTurn ? PatientIt : NextIt;
+    if (NextIt == Requesters.end()) {
       return;
     }
-    const HostName *Host = pick(Next->second);
+    const HostName *Host = pickWorker(NextIt->second);
     if (Host == nullptr) {
-      // No worker suits this asker now; it asks again.
-      (PatientTurn ? Next->second.Patient : Next->second.Prompt) = 0;
+      // No worker is suitable for this requester now; it requests again.
+      (IsPatientTurn ? NextIt->second.PatientWanted
+                     : NextIt->second.PromptWanted) = 0;
       continue;
     }
-    const HostName Chosen = *Host;
-    grant(Next->first, Next->second,
-          PatientTurn ? JobClass::Patient : JobClass::Prompt, Chosen, Now, Out);
+    const HostName GrantedHost = *Host;
+    grantSlot(NextIt->first, NextIt->second,
+              IsPatientTurn ? JobClass::Patient : JobClass::Prompt, GrantedHost,
+              Now, NewGrants);
   }
 }
 
-void SlotScheduler::grant(const AskerId &Who, Asker &A, JobClass Class,
-                          const HostName &Host, Instant Now, Grants &Out) {
+void SlotScheduler::grantSlot(const RequesterId &Id, Requester &R,
+                              JobClass Class, const HostName &Host, Instant Now,
+                              Grants &NewGrants) {
   const bool IsPatient = Class == JobClass::Patient;
   Worker &W = Workers.at(Host);
-  rank(Host, W, false);
+  updateOpenWorkers(Host, W, false);
   ++W.Held;
-  ++Held;
-  W.LastGrant = ++LastRound;
-  rank(Host, W, true);
-  PromptInRow = IsPatient ? 0 : PromptInRow + 1;
-  --(IsPatient ? A.Patient : A.Prompt);
-  ++(IsPatient ? A.PatientHeld : A.PromptHeld);
+  ++TotalHeld;
+  W.LastGrantRound = ++LastGrantRound;
+  updateOpenWorkers(Host, W, true);
+  PromptGrantsInRow = IsPatient ? 0 : PromptGrantsInRow + 1;
+  --(IsPatient ? R.PatientWanted : R.PromptWanted);
+  ++(IsPatient ? R.PatientHeld : R.PromptHeld);
   PatientHeld += IsPatient ? 1 : 0;
-  ++HeldFor[Who.second];
+  ++HeldByPool[Id.second];
   const auto Micros =
       static_cast<std::uint64_t>(Now.time_since_epoch().count());
-  LastNumber = std::max(LastNumber + 1, Micros);
-  A.Sent.push_back({LastNumber, Host, 1, Class, Now + GrantVoidAfter});
-  Out.emplace_back(Who.first, SlotGrant{Pool, Host, 1, GrantValidFor,
-                                        Who.second, Class, LastNumber, free()});
+  LastGrantNumber = std::max(LastGrantNumber + 1, Micros);
+  R.PendingGrants.push_back(
+      {LastGrantNumber, Host, 1, Class, Now + PendingGrantLifetime});
+  NewGrants.emplace_back(Id.first,
+                         SlotGrant{Pool, Host, 1, GrantValidity, Id.second,
+                                   Class, LastGrantNumber, freeSlots()});
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/WorkerTable.cpp
+++ b/Source/Placement/WorkerTable.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Keeps each pool's list of usable workers up to date, so that a choice
-/// never walks over all workers.
+/// Keeps each pool's list of usable workers up to date, so that a choice never
+/// iterates over all workers.
 
 #include "balsamlatch/Placement/WorkerTable.h"
 
@@ -10,14 +10,15 @@
 
 namespace {
 
-constexpr Duration FirstBlock = std::chrono::milliseconds(4);
-/// A worker that refuses is mostly full, and soon free again.
-constexpr Duration LongestBlock = std::chrono::milliseconds(64);
-/// After this many refusals in a row it is more likely broken.
-constexpr std::uint32_t RefusalsOfFullWorker = 16;
-constexpr Duration LongestBlockOfBroken = std::chrono::seconds(8);
-constexpr std::uint32_t MostDoublings = 20;
-constexpr int Draws = 3;
+constexpr Duration InitialBlock = std::chrono::milliseconds(4);
+/// A worker that refuses is usually full, and soon has a free slot again.
+constexpr Duration MaxBlock = std::chrono::milliseconds(64);
+/// After this many consecutive refusals, a worker is more likely broken than
+/// full.
+constexpr std::uint32_t MaxRefusalsWhenFull = 16;
+constexpr Duration MaxBlockWhenBroken = std::chrono::seconds(8);
+constexpr std::uint32_t MaxDoublings = 20;
+constexpr int MaxDraws = 3;
 
 bool contains(const std::vector<HostName> &Hosts, const HostName &Host) {
   return std::find(Hosts.begin(), Hosts.end(), Host) != Hosts.end();
@@ -26,216 +27,220 @@
 } // namespace
 
 void WorkerTable::replace(const std::vector<WorkerView> &Views, Instant Now) {
-  ByPool.clear();
-  for (auto &[Host, Worker] : ByHost) {
-    Worker->Listed = false;
-    Worker->Place = WorkerState::NotUsable;
+  PoolsByName.clear();
+  for (auto &[Host, Worker] : WorkersByHost) {
+    Worker->IsListed = false;
+    Worker->UsableIndex = WorkerState::NotUsable;
   }
   for (const WorkerView &View : Views) {
-    std::unique_ptr<WorkerState> &Worker = ByHost[View.Host];
+    std::unique_ptr<WorkerState> &Worker = WorkersByHost[View.Host];
     if (Worker == nullptr) {
       Worker = std::make_unique<WorkerState>();
     }
     Worker->View = View;
-    Worker->Listed = true;
-    PoolMembers &Members = ByPool[View.Pool];
-    Members.All.push_back(Worker.get());
+    Worker->IsListed = true;
+    PoolMembers &Members = PoolsByName[View.Pool];
+    Members.AllWorkers.push_back(Worker.get());
     Members.Slots += View.Accepting ? View.Slots : 0;
     if (Worker->BlockedUntil > Now) {
-      Members.Blocked.emplace(Worker->BlockedUntil, View.Host);
+      Members.BlockedHosts.emplace(Worker->BlockedUntil, View.Host);
     }
-    if (Worker->Ejected) {
-      Members.Ejected.insert(View.Host);
+    if (Worker->IsEjected) {
+      Members.EjectedHosts.insert(View.Host);
     }
-    refresh(*Worker, Now);
+    updateUsable(*Worker, Now);
   }
-  for (auto &[Host, Worker] : ByHost) {
-    Worker->Ejected = Worker->Ejected && Worker->Listed;
+  for (auto &[Host, Worker] : WorkersByHost) {
+    Worker->IsEjected = Worker->IsEjected && Worker->IsListed;
   }
-  std::erase_if(ByHost, [](const auto &Item) {
-    return !Item.second->Listed && Item.second->InUse == 0;
+  std::erase_if(WorkersByHost, [](const auto &Item) {
+    return !Item.second->IsListed && Item.second->SlotsInUse == 0;
   });
 }
 
 WorkerState *WorkerTable::find(const HostName &Host) {
-  const auto Found = ByHost.find(Host);
-  return Found == ByHost.end() ? nullptr : Found->second.get();
+  const auto It = WorkersByHost.find(Host);
+  return It == WorkersByHost.end() ? nullptr : It->second.get();
 }
 
 const WorkerState *WorkerTable::find(const HostName &Host) const {
-  const auto Found = ByHost.find(Host);
-  return Found == ByHost.end() ? nullptr : Found->second.get();
+  const auto It = WorkersByHost.find(Host);
+  return It == WorkersByHost.end() ? nullptr : It->second.get();
 }
 
 void WorkerTable::acquire(WorkerState &Worker, Instant Now) {
-  ++Worker.InUse;
-  refresh(Worker, Now);
+  ++Worker.SlotsInUse;
+  updateUsable(Worker, Now);
 }
 
 void WorkerTable::release(WorkerState &Worker, Instant Now) {
-  --Worker.InUse;
-  if (!Worker.Listed && Worker.InUse == 0) {
+  --Worker.SlotsInUse;
+  if (!Worker.IsListed && Worker.SlotsInUse == 0) {
     const HostName Host = Worker.View.Host;
-    ByHost.erase(Host);
+    WorkersByHost.erase(Host);
     return;
   }
-  refresh(Worker, Now);
+  updateUsable(Worker, Now);
 }
 
-void WorkerTable::setEjected(WorkerState &Worker, bool Ejected, Instant Now) {
-  Worker.Ejected = Ejected;
-  std::set<HostName> &Out = ByPool[Worker.View.Pool].Ejected;
-  if (Ejected) {
-    Out.insert(Worker.View.Host);
+void WorkerTable::setEjected(WorkerState &Worker, bool Eject, Instant Now) {
+  Worker.IsEjected = Eject;
+  std::set<HostName> &Hosts = PoolsByName[Worker.View.Pool].EjectedHosts;
+  if (Eject) {
+    Hosts.insert(Worker.View.Host);
   } else {
-    Out.erase(Worker.View.Host);
+    Hosts.erase(Worker.View.Host);
   }
-  refresh(Worker, Now);
+  updateUsable(Worker, Now);
 }
 
-void WorkerTable::refused(WorkerState &Worker, Instant Now) {
-  const std::uint32_t Refusals = Worker.Refusals++;
-  const bool Broken = Refusals >= RefusalsOfFullWorker;
-  const std::uint32_t Doublings = std::min(
-      Broken ? Refusals - RefusalsOfFullWorker : Refusals, MostDoublings);
-  const Duration Block = std::min(Broken ? LongestBlockOfBroken : LongestBlock,
-                                  (Broken ? LongestBlock : FirstBlock) *
+void WorkerTable::recordRefusal(WorkerState &Worker, Instant Now) {
+  const std::uint32_t PriorRefusals = Worker.RefusalCount++;
+  const bool IsBroken = PriorRefusals >= MaxRefusalsWhenFull;
+  const std::uint32_t Doublings =
+      std::min(IsBroken ? PriorRefusals - MaxRefusalsWhenFull : PriorRefusals,
+               MaxDoublings);
+  const Duration Block = std::min(IsBroken ? MaxBlockWhenBroken : MaxBlock,
+                                  (IsBroken ? MaxBlock : InitialBlock) *
                                       (std::int64_t(1) << Doublings));
   Worker.BlockedUntil = Now + Block;
-  const auto Members = ByPool.find(Worker.View.Pool);
-  if (Worker.Listed && Members != ByPool.end()) {
-    Members->second.Blocked.emplace(Worker.BlockedUntil, Worker.View.Host);
+  const auto Members = PoolsByName.find(Worker.View.Pool);
+  if (Worker.IsListed && Members != PoolsByName.end()) {
+    Members->second.BlockedHosts.emplace(Worker.BlockedUntil, Worker.View.Host);
   }
-  refresh(Worker, Now);
+  updateUsable(Worker, Now);
 }
 
-WorkerState *WorkerTable::twoRandomChoices(const PoolName &Pool,
-                                           const std::vector<HostName> &Tried,
-                                           Random &Rng, Instant Now) {
-  const auto Found = ByPool.find(Pool);
-  if (Found == ByPool.end()) {
+WorkerState *
+WorkerTable::chooseOfTwoRandom(const PoolName &Pool,
+                               const std::vector<HostName> &TriedHosts,
+                               Random &Rng, Instant Now) {
+  const auto It = PoolsByName.find(Pool);
+  if (It == PoolsByName.end()) {
     return nullptr;
   }
-  unblock(Found->second, Now);
-  WorkerState *First = draw(Found->second, Tried, Rng);
-  WorkerState *Second = draw(Found->second, Tried, Rng);
+  unblockExpired(It->second, Now);
+  WorkerState *First = drawWorker(It->second, TriedHosts, Rng);
+  WorkerState *Second = drawWorker(It->second, TriedHosts, Rng);
   if (First == nullptr || Second == nullptr) {
     return First;
   }
-  return Second->InUse < First->InUse ? Second : First;
+  return Second->SlotsInUse < First->SlotsInUse ? Second : First;
 }
 
-WorkerState *WorkerTable::roundRobin(const PoolName &Pool,
-                                     const std::vector<HostName> &Tried,
-                                     Instant Now) {
-  const auto Found = ByPool.find(Pool);
-  if (Found == ByPool.end()) {
+WorkerState *
+WorkerTable::chooseRoundRobin(const PoolName &Pool,
+                              const std::vector<HostName> &TriedHosts,
+                              Instant Now) {
+  const auto It = PoolsByName.find(Pool);
+  if (It == PoolsByName.end()) {
     return nullptr;
   }
-  PoolMembers &Members = Found->second;
-  unblock(Members, Now);
-  const std::size_t Count = Members.Usable.size();
-  WorkerState *Chosen = nullptr;
-  for (std::size_t I = 0; I < std::min<std::size_t>(Count, Draws); ++I) {
-    Chosen = Members.Usable[Members.Cursor++ % Count];
-    if (!contains(Tried, Chosen->View.Host)) {
+  PoolMembers &Members = It->second;
+  unblockExpired(Members, Now);
+  const std::size_t Count = Members.UsableWorkers.size();
+  WorkerState *Candidate = nullptr;
+  for (std::size_t I = 0; I < std::min<std::size_t>(Count, MaxDraws); ++I) {
+    Candidate = Members.UsableWorkers[Members.Cursor++ % Count];
+    if (!contains(TriedHosts, Candidate->View.Host)) {
       break;
     }
   }
-  return Chosen;
+  return Candidate;
 }
 
-std::uint32_t WorkerTable::accepting(const PoolName &Pool) const {
-  const std::vector<WorkerState *> &All = members(Pool);
+std::uint32_t WorkerTable::acceptingCount(const PoolName &Pool) const {
+  const std::vector<WorkerState *> &Members = members(Pool);
   return static_cast<std::uint32_t>(
-      std::count_if(All.begin(), All.end(),
+      std::count_if(Members.begin(), Members.end(),
                     [](const WorkerState *W) { return W->View.Accepting; }));
 }
 
 std::uint32_t WorkerTable::slots(const PoolName &Pool) const {
-  const auto Found = ByPool.find(Pool);
-  return Found == ByPool.end() ? 0 : Found->second.Slots;
+  const auto It = PoolsByName.find(Pool);
+  return It == PoolsByName.end() ? 0 : It->second.Slots;
 }
 
 std::uint32_t WorkerTable::slotsInUse(const PoolName &Pool) const {
   std::uint32_t Total = 0;
   for (const WorkerState *Worker : members(Pool)) {
-    Total += Worker->InUse;
+    Total += Worker->SlotsInUse;
   }
   return Total;
 }
 
-std::uint32_t WorkerTable::ejected(const PoolName &Pool) const {
-  const auto Found = ByPool.find(Pool);
-  return Found == ByPool.end()
+std::uint32_t WorkerTable::ejectedCount(const PoolName &Pool) const {
+  const auto It = PoolsByName.find(Pool);
+  return It == PoolsByName.end()
              ? 0
-             : static_cast<std::uint32_t>(Found->second.Ejected.size());
+             : static_cast<std::uint32_t>(It->second.EjectedHosts.size());
 }
 
-std::vector<HostName> WorkerTable::avoided(const PoolName &Pool,
-                                           Instant Now) const {
-  std::vector<HostName> Out;
-  const auto Found = ByPool.find(Pool);
-  if (Found == ByPool.end()) {
-    return Out;
+std::vector<HostName> WorkerTable::avoidedHosts(const PoolName &Pool,
+                                                Instant Now) const {
+  std::vector<HostName> Hosts;
+  const auto It = PoolsByName.find(Pool);
+  if (It == PoolsByName.end()) {
+    return Hosts;
   }
-  const PoolMembers &Members = Found->second;
-  Out.assign(Members.Ejected.begin(), Members.Ejected.end());
-  for (auto Item = Members.Blocked.upper_bound(Now);
-       Item != Members.Blocked.end(); ++Item) {
-    Out.push_back(Item->second);
+  const PoolMembers &Members = It->second;
+  Hosts.assign(Members.EjectedHosts.begin(), Members.EjectedHosts.end());
+  for (auto Item = Members.BlockedHosts.upper_bound(Now);
+       Item != Members.BlockedHosts.end(); ++Item) {
+    Hosts.push_back(Item->second);
   }
-  return Out;
+  return Hosts;
 }
 
 const std::vector<WorkerState *> &
 WorkerTable::members(const PoolName &Pool) const {
-  static const std::vector<WorkerState *> None;
-  const auto Found = ByPool.find(Pool);
-  return Found == ByPool.end() ? None : Found->second.All;
+  static const std::vector<WorkerState *> NoWorkers;
+  const auto It = PoolsByName.find(Pool);
+  return It == PoolsByName.end() ? NoWorkers : It->second.AllWorkers;
 }
 
-void WorkerTable::refresh(WorkerState &Worker, Instant Now) {
-  const auto Found = ByPool.find(Worker.View.Pool);
-  if (Found == ByPool.end()) {
+void WorkerTable::updateUsable(WorkerState &Worker, Instant Now) {
+  const auto It = PoolsByName.find(Worker.View.Pool);
+  if (It == PoolsByName.end()) {
     return;
   }
-  std::vector<WorkerState *> &Usable = Found->second.Usable;
-  const bool Wanted = Worker.usable(Now);
-  const bool Present = Worker.Place != WorkerState::NotUsable;
-  if (Wanted && !Present) {
-    Worker.Place = Usable.size();
-    Usable.push_back(&Worker);
-  } else if (!Wanted && Present) {
-    Usable[Worker.Place] = Usable.back();
-    Usable[Worker.Place]->Place = Worker.Place;
-    Usable.pop_back();
-    Worker.Place = WorkerState::NotUsable;
-  }
-}
-
-void WorkerTable::unblock(PoolMembers &Members, Instant Now) {
-  while (!Members.Blocked.empty() && Members.Blocked.begin()->first <= Now) {
-    const HostName Host = Members.Blocked.begin()->second;
-    Members.Blocked.erase(Members.Blocked.begin());
+  std::vector<WorkerState *> &UsableWorkers = It->second.UsableWorkers;
+  const bool ShouldBeListed = Worker.isUsable(Now);
+  const bool IsPresent = Worker.UsableIndex != WorkerState::NotUsable;
+  if (ShouldBeListed && !IsPresent) {
+    Worker.UsableIndex = UsableWorkers.size();
+    UsableWorkers.push_back(&Worker);
+  } else if (!ShouldBeListed && IsPresent) {
+    UsableWorkers[Worker.UsableIndex] = UsableWorkers.back();
+    UsableWorkers[Worker.UsableIndex]->UsableIndex = Worker.UsableIndex;
+    UsableWorkers.pop_back();
+    Worker.UsableIndex = WorkerState::NotUsable;
+  }
+}
+
+void WorkerTable::unblockExpired(PoolMembers &Members, Instant Now) {
+  while (!Members.BlockedHosts.empty() &&
+         Members.BlockedHosts.begin()->first <= Now) {
+    const HostName Host = Members.BlockedHosts.begin()->second;
+    Members.BlockedHosts.erase(Members.BlockedHosts.begin());
     if (WorkerState *Worker = find(Host); Worker != nullptr) {
-      refresh(*Worker, Now);
+      updateUsable(*Worker, Now);
     }
   }
 }
 
-WorkerState *WorkerTable::draw(PoolMembers &Members,
-                               const std::vector<HostName> &Tried,
-                               Random &Rng) {
-  const std::size_t Count = Members.Usable.size();
-  WorkerState *Chosen = nullptr;
-  for (int I = 0; Count > 0 && I < Draws; ++I) {
-    Chosen = Members.Usable[Rng() % Count];
-    if (!contains(Tried, Chosen->View.Host)) {
+WorkerState *WorkerTable::drawWorker(PoolMembers &Members,
+                                     const std::vector<HostName> &TriedHosts,
+                                     Random &Rng) {
+  const std::size_t Count = Members.UsableWorkers.size();
+  WorkerState *Candidate = nullptr;
+  for (int I = 0; Count > 0 && I < MaxDraws; ++I) {
+    Candidate = Members.UsableWorkers[Rng() % Count];
+    if (!contains(TriedHosts, Candidate->View.Host)) {
       break;
     }
   }
-  return Chosen;
+  return Candidate;
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/Admission.h
+++ b/Source/Placement/include/balsamlatch/Placement/Admission.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which requests are refused on arrival, so that a caller hears at once what
-/// can't be served.
+/// Admission control: requests that can't be served are refused on arrival, so
+/// that the caller learns it at once.
 
 #ifndef BALSAMLATCH_PLACEMENT_ADMISSION_H
 #define BALSAMLATCH_PLACEMENT_ADMISSION_H
@@ -13,22 +13,24 @@
 
 namespace balsamlatch::placement {
 
-/// The load that a request of one pool meets.
+/// The load of one pool when a request arrives.
 struct PoolLoad {
-  std::size_t Waiting = 0;
-  std::size_t MaxWaiting = 0;
-  /// Requests in prompt order, and the slots for them, as this entry's part.
-  std::uint32_t Urgent = 0;
-  double Slots = 0;
+  std::size_t QueuedRequests = 0;
+  std::size_t MaxQueuedRequests = 0;
+  /// Queued requests in prompt order, and this entry's share of the slots for
+  /// them.
+  std::uint32_t UrgentRequests = 0;
+  double SlotShare = 0;
 };
 
-/// The job's rule if its pool has one too, or null.
-const JobRule *ruleFor(const RuleSet *Rules, const JobName &Job);
+/// The job's rule, or null if the job or its pool has no rule.
+const JobRule *findJobRule(const RuleSet *Rules, const JobName &Job);
 
-/// Why a request of a known job is refused as not run; empty: admitted.
-std::optional<Reason> refusal(const Request &Asked, const JobRule &Rule,
-                              const PoolRule &Pool, const SizeModel &Sizes,
-                              const PoolLoad &Load, Instant Now);
+/// Why a request of a known job is refused as not run; empty if it is admitted.
+std::optional<Reason> refusalReason(const Request &CallerRequest,
+                                    const JobRule &Rule, const PoolRule &Pool,
+                                    const SizeModel &Sizes,
+                                    const PoolLoad &Load, Instant Now);
 
 } // namespace balsamlatch::placement
 
--- a/Source/Placement/include/balsamlatch/Placement/AttemptMachine.h
+++ b/Source/Placement/include/balsamlatch/Placement/AttemptMachine.h
@@ -1,6 +1,6 @@
 /// \file
-/// The life of one attempt on a worker: it holds a slot from its start until
-/// its end is certain.
+/// The state of one attempt on a worker. It holds a slot from its start until
+/// the worker certainly no longer runs it.
 
 #ifndef BALSAMLATCH_PLACEMENT_ATTEMPTMACHINE_H
 #define BALSAMLATCH_PLACEMENT_ATTEMPTMACHINE_H
@@ -9,13 +9,12 @@
 
 namespace balsamlatch::placement {
 
-/// What an event asks of the owner of the attempt.
-enum class AttemptStep {
+/// What the owner of the attempt must do after an event.
+enum class AttemptAction {
   None,
   /// Tell the worker to stop the task.
   SendCancel,
-  /// The worker no longer runs the task, or the call is over: the slot is
-  /// free.
+  /// The worker no longer runs the task, or the call ended: the slot is free.
   ReleaseSlot
 };
 
@@ -26,19 +25,19 @@
   AttemptMachine(AttemptMachine &&) noexcept;
   AttemptMachine &operator=(AttemptMachine &&) noexcept;
 
-  /// The request no longer wants the attempt.
-  AttemptStep cancel();
+  /// The request no longer needs the attempt.
+  AttemptAction cancel();
   /// The worker confirmed that the task doesn't run.
-  AttemptStep cancelConfirmed();
-  /// The call to the worker ended.
-  AttemptStep ended();
+  AttemptAction confirmCancel();
+  /// The call to the worker ended, with or without an answer.
+  AttemptAction endCall();
 
-  /// Wanted by its request: neither cancelled nor ended.
-  bool running() const;
+  /// Neither cancelled nor ended: the request still needs the answer.
+  bool isRunning() const;
 
 private:
-  struct Machine;
-  std::unique_ptr<Machine> Self;
+  struct StateMachine;
+  std::unique_ptr<StateMachine> Fsm;
 };
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/RetryBudget.h
+++ b/Source/Placement/include/balsamlatch/Placement/RetryBudget.h
@@ -1,5 +1,6 @@
 /// \file
-/// Bounds on retries: a share of the load, and a jittered back-off.
+/// Limits on retries: a budget in proportion to the load, and a jittered
+/// exponential back-off.
 
 #ifndef BALSAMLATCH_PLACEMENT_RETRYBUDGET_H
 #define BALSAMLATCH_PLACEMENT_RETRYBUDGET_H
@@ -13,26 +14,27 @@
 
 using Random = std::mt19937_64;
 
-/// Lets repeated runs and hedges be at most a tenth of the first attempts,
-/// after a small start. Attempts that certainly did not run cost nothing; the
-/// back-off bounds them.
+/// Limits retries and hedges of requests that may have run to a tenth of the
+/// first attempts, plus an initial allowance. A retry of an attempt that
+/// certainly did not run takes no token; the back-off alone limits it.
 class RetryBudget {
 public:
-  void firstAttempt();
-  /// False when the budget is spent.
-  bool take();
+  void recordFirstAttempt();
+  /// Takes a token; returns false if none is left.
+  bool trySpend();
 
 private:
-  static constexpr double Share = 0.1;
-  static constexpr double Most = 100;
+  static constexpr double TokensPerFirstAttempt = 0.1;
+  static constexpr double MaxTokens = 100;
 
-  // Invariant: between 0 and Most.
+  // Invariant: between 0 and MaxTokens. Starts with a small allowance.
   double Tokens = 10;
 };
 
-/// The wait before try number \p Tries + 1: zero after the first, then drawn
-/// evenly between zero and a bound that doubles up to a cap.
-Duration backOff(unsigned Tries, Random &Rng);
+/// The delay before the next attempt after \p AttemptCount attempts: zero after
+/// the first, then uniformly distributed between zero and a bound that doubles
+/// with each attempt up to a cap.
+Duration backOffDelay(unsigned AttemptCount, Random &Rng);
 
 } // namespace balsamlatch::placement
 
--- a/Source/Placement/include/balsamlatch/Placement/SizeModel.h
+++ b/Source/Placement/include/balsamlatch/Placement/SizeModel.h
@@ -1,6 +1,6 @@
 /// \file
-/// Run times and sizes of jobs as observed. Declared figures stand until
-/// enough has been seen, since they may be far off.
+/// Run times and resource use of jobs as observed. Declared values, which may
+/// be far off, apply until there are enough observations.
 
 #ifndef BALSAMLATCH_PLACEMENT_SIZEMODEL_H
 #define BALSAMLATCH_PLACEMENT_SIZEMODEL_H
@@ -15,23 +15,24 @@
 
 namespace balsamlatch::placement {
 
-/// The last observations of one quantity, and two of its quantiles.
+/// A sliding window of observations of one quantity, with two quantiles.
 class QuantileWindow {
 public:
   void add(std::int64_t Value);
 
   std::uint64_t count() const { return Count; }
-  /// The 10th and the 95th percentile of the last observations.
+  /// The 10th and the 95th percentile of the window.
   std::int64_t low() const { return Low; }
   std::int64_t high() const { return High; }
 
 private:
-  static constexpr std::size_t Size = 64;
-  static constexpr std::uint64_t Refresh = 8;
+  static constexpr std::size_t WindowSize = 64;
+  static constexpr std::uint64_t RefreshInterval = 8;
 
-  std::array<std::int64_t, Size> Last{};
+  std::array<std::int64_t, WindowSize> Values{};
   std::uint64_t Count = 0;
-  // Invariant: the quantiles as of the last refresh.
+  // Invariant: the quantiles as of the last refresh; they are refreshed after
+  // every RefreshInterval observations.
   std::int64_t Low = 0;
   std::int64_t High = 0;
 };
@@ -39,32 +40,34 @@
 /// Not thread safe.
 class SizeModel {
 public:
-  /// A whole answer came after this time.
-  void ran(const JobName &Job, Duration RunTime, Instant Now);
-  /// A worker reported a running task.
-  void used(const TaskUsage &Usage);
+  /// An attempt returned a complete answer after this run time.
+  void recordRun(const JobName &Job, Duration RunTime, Instant Now);
+  /// A worker reported the resource use of a running task.
+  void recordUsage(const TaskUsage &Usage);
 
-  /// High quantile of the run time; the declared one until enough was seen.
+  /// 95th percentile of the run time, or the declared one until there are
+  /// enough observations.
   Duration runTime(const JobRule &Rule) const;
-  /// A run time below which the job hardly ever ends. Declared figures count
-  /// a tenth, and observations only while they are fresh.
+  /// A run time that the job rarely undercuts: the 10th percentile while
+  /// observations are fresh, otherwise a tenth of the declared run time.
   Duration shortestRunTime(const JobRule &Rule, Instant Now) const;
-  /// High quantile of the size; the declared one until enough was seen.
+  /// 95th percentile of the resource use, or the declared one until there are
+  /// enough observations.
   TaskSize size(const JobRule &Rule) const;
-  /// Enough runs were seen to judge a run as long.
-  bool knowsRunTime(const JobName &Job) const;
+  /// Whether there are enough observed runs to call a run long.
+  bool hasEnoughRuns(const JobName &Job) const;
 
 private:
-  struct Observed {
+  struct JobObservations {
     QuantileWindow RunMicros;
     QuantileWindow MilliCores;
     QuantileWindow MemoryMiB;
     Instant LastRun{};
   };
 
-  const Observed *find(const JobName &Job) const;
+  const JobObservations *find(const JobName &Job) const;
 
-  std::unordered_map<JobName, Observed> Jobs;
+  std::unordered_map<JobName, JobObservations> Jobs;
 };
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/SlotHolder.h
+++ b/Source/Placement/include/balsamlatch/Placement/SlotHolder.h
@@ -1,7 +1,7 @@
 /// \file
-/// The slots of one pool that this entry holds for one queue: grants not yet
-/// used, and slots in use. It decides when to ask the pool's scheduler, and
-/// notices when no scheduler answers.
+/// The slots of one pool that this entry holds for one queue: unused grants and
+/// slots in use. Decides when to request slots from the pool's scheduler, and
+/// detects that no scheduler answers.
 
 #ifndef BALSAMLATCH_PLACEMENT_SLOTHOLDER_H
 #define BALSAMLATCH_PLACEMENT_SLOTHOLDER_H
@@ -19,10 +19,10 @@
 
 namespace balsamlatch::placement {
 
-/// What a queue wants of a pool now.
+/// The slots that a queue needs from a pool now, beyond those it holds.
 struct SlotDemand {
-  std::uint32_t Prompt = 0;
-  std::uint32_t Patient = 0;
+  std::uint32_t PromptCount = 0;
+  std::uint32_t PatientCount = 0;
   std::optional<Instant> EarliestDeadline;
 
   auto operator<=>(const SlotDemand &) const = default;
@@ -31,73 +31,78 @@
 /// Not thread safe.
 class SlotHolder {
 public:
-  SlotHolder(PoolName Of, PoolName Queue)
-      : Pool(std::move(Of)), For(std::move(Queue)) {}
+  SlotHolder(PoolName SlotPool, PoolName QueueName)
+      : Pool(std::move(SlotPool)), QueuePool(std::move(QueueName)) {}
 
-  /// Another entry schedules the pool from now on: ask it at once.
+  /// Sets the entry that schedules the pool. A new scheduler is sent a request
+  /// at once.
   void setScheduler(const EntryName &Entry);
   const EntryName &scheduler() const { return Scheduler; }
 
-  /// Takes over a grant. One from another entry than the scheduler is void.
-  void granted(const EntryName &From, const SlotGrant &Grant, Instant Now);
+  /// Adds the slots of a grant. A grant from any entry but the scheduler is
+  /// ignored.
+  void addGrant(const EntryName &SenderEntry, const SlotGrant &Grant,
+                Instant Now);
 
-  /// Uses a grant of the class on a host that \p Suits. Lapsed grants are
-  /// never used. Empty: none.
+  /// Takes an unused grant of the class on a host that satisfies \p IsSuitable;
+  /// empty if there is none. Expired grants are never used.
   std::optional<HostName>
-  take(JobClass Class, Instant Now,
-       const std::function<bool(const HostName &)> &Suits);
+  takeGrant(JobClass Class, Instant Now,
+            const std::function<bool(const HostName &)> &IsSuitable);
 
-  /// A slot came into use, or is free again.
-  void started(const HostName &Host, JobClass Class);
-  void ended(const HostName &Host, JobClass Class);
+  /// Counts the slots in use on each host.
+  void acquireSlot(const HostName &Host, JobClass Class);
+  void releaseSlot(const HostName &Host, JobClass Class);
 
-  /// The message to send now, if one is due. \p Avoid is called only then. To
-  /// a scheduler in this entry, \p OnlyChanges leaves out the hosts whose
-  /// number of slots is as in the last ask, unless that was long ago.
+  /// The slot request to send now, if one is due. \p AvoidedWorkers is called
+  /// only then. With \p AllowDelta, for a scheduler in this entry, the request
+  /// leaves out hosts whose slot count is unchanged since the last request,
+  /// unless that was long ago.
   std::optional<SlotAsk>
-  ask(const SlotDemand &Wanted, Instant Now, bool OnlyChanges,
-      const std::function<std::vector<HostName>()> &Avoid);
-
-  /// Whether the last ask named only the hosts whose number changed.
-  bool lastAskWasChanges() const { return AskedChanges; }
-  /// No scheduler answers: choose without grants.
-  bool unanswered(Instant Now) const;
-  /// The scheduler said that the pool has no free slot.
-  bool poolFull() const { return Heard && Free == 0; }
-  bool idle() const { return Unused.empty() && InUse.empty(); }
-  std::uint32_t unused() const {
-    return static_cast<std::uint32_t>(Unused.size());
+  requestIfDue(const SlotDemand &Demand, Instant Now, bool AllowDelta,
+               const std::function<std::vector<HostName>()> &AvoidedWorkers);
+
+  /// Whether the last request named only the hosts whose slot count changed.
+  bool isLastRequestDelta() const { return LastRequestWasDelta; }
+  /// Whether the scheduler fails to answer, so that workers are chosen without
+  /// grants.
+  bool isUnanswered(Instant Now) const;
+  /// Whether the scheduler reported that the pool has no free slot.
+  bool isPoolFull() const { return SchedulerAnswered && PoolFreeSlots == 0; }
+  bool isIdle() const { return UnusedGrants.empty() && UsedSlots.empty(); }
+  std::uint32_t unusedCount() const {
+    return static_cast<std::uint32_t>(UnusedGrants.size());
   }
 
 private:
-  struct Unspent {
+  struct UnusedGrant {
     HostName Host;
     JobClass Class = JobClass::Prompt;
-    Instant VoidAt{};
+    Instant Expiry{};
   };
 
-  void lapse(Instant Now);
-  SlotAsk compose(const SlotDemand &Wanted, Instant Now, bool OnlyChanges);
-  std::uint32_t held(const HostName &Host) const;
+  void dropExpiredGrants(Instant Now);
+  SlotAsk buildRequest(const SlotDemand &Demand, Instant Now, bool AllowDelta);
+  std::uint32_t countHeld(const HostName &Host) const;
 
   PoolName Pool;
-  PoolName For;
+  PoolName QueuePool;
   EntryName Scheduler;
-  std::list<Unspent> Unused;
-  std::map<HostName, std::uint32_t> InUse;
-  std::uint32_t PatientInUse = 0;
-  bool AskedChanges = false;
-  // Hosts whose number of held slots may differ from the last ask.
-  std::set<HostName> Changed;
+  std::list<UnusedGrant> UnusedGrants;
+  std::map<HostName, std::uint32_t> UsedSlots;
+  std::uint32_t PatientUsedSlots = 0;
+  bool LastRequestWasDelta = false;
+  // Hosts whose slot count may differ from the last request.
+  std::set<HostName> ChangedHosts;
   SlotDemand LastDemand;
-  // Holdings shrank since the last ask.
-  bool Shrunk = false;
-  bool Heard = false;
-  std::uint32_t Free = 0;
+  // Slots were released or grants expired since the last request.
+  bool HoldingsShrank = false;
+  bool SchedulerAnswered = false;
+  std::uint32_t PoolFreeSlots = 0;
   std::uint64_t Sequence = 0;
-  std::uint64_t LastGrant = 0;
-  std::optional<Instant> LastAsk;
-  // The first ask since the scheduler was last heard.
+  std::uint64_t LastGrantNumber = 0;
+  std::optional<Instant> LastRequestTime;
+  // Time of the first request since the scheduler last answered.
   std::optional<Instant> UnansweredSince;
 };
 
--- a/Source/Placement/include/balsamlatch/Placement/SlotScheduler.h
+++ b/Source/Placement/include/balsamlatch/Placement/SlotScheduler.h
@@ -1,7 +1,8 @@
 /// \file
-/// Hands out the slots of one pool to the entries that ask, in the entry that
-/// rendezvous hashing picks for the pool. It keeps nothing: what is granted is
-/// learned from the asks, and a worker that is full after all refuses.
+/// Grants the slots of one pool to the entries that request them. Runs in the
+/// entry that rendezvous hashing selects for the pool. Keeps no persistent
+/// state: the grants in effect are learned from the requests, and a worker that
+/// is full nevertheless refuses the task.
 
 #ifndef BALSAMLATCH_PLACEMENT_SLOTSCHEDULER_H
 #define BALSAMLATCH_PLACEMENT_SLOTSCHEDULER_H
@@ -18,11 +19,12 @@
 
 namespace balsamlatch::placement {
 
-/// The entry that schedules the pool: the same in every entry that has the
-/// same live entries. Empty without live entries.
-EntryName schedulerOf(const PoolName &Pool, const std::vector<EntryName> &Live);
+/// The entry that schedules the pool: the same for every entry with the same
+/// set of live entries. Empty if no entry is live.
+EntryName electScheduler(const PoolName &Pool,
+                         const std::vector<EntryName> &LiveEntries);
 
-/// A worker's slots, for the scheduler.
+/// The number of slots of a worker.
 struct WorkerSlots {
   HostName Host;
   std::uint32_t Slots = 0;
@@ -31,14 +33,16 @@
 };
 
 struct SchedulerLimits {
-  /// Part of the pool's slots that patient work may hold, in percent. Between
-  /// the two it is what the recent peak of prompt work leaves.
-  std::uint32_t PatientPercent = 75;
-  std::uint32_t PatientFloorPercent = 75;
-  /// Part of the spare pool's slots kept for each other pool that may spill.
+  /// Bounds of the part of the pool's slots that patient work may hold, in
+  /// percent. Between them, it is the part that the recent peak of prompt work
+  /// leaves free.
+  std::uint32_t MaxPatientPercent = 75;
+  std::uint32_t MinPatientPercent = 75;
+  /// Part of the spare pool's slots reserved for each other pool that may
+  /// spill, in percent.
   std::uint32_t ReservePercent = 5;
-  /// Pools whose work may be placed here, this one not counted.
-  std::uint32_t SpillingPools = 0;
+  /// Number of other pools whose work may be placed on this one.
+  std::uint32_t SpillingPoolCount = 0;
 
   auto operator<=>(const SchedulerLimits &) const = default;
 };
@@ -48,101 +52,107 @@
 public:
   using Grants = std::vector<std::pair<EntryName, SlotGrant>>;
 
-  explicit SlotScheduler(PoolName Of) : Pool(std::move(Of)) {}
-
-  void setLimits(SchedulerLimits Given) { Limits = Given; }
-  /// Workers that accept work; a host that is missing gets no further grant.
-  void setWorkers(const std::vector<WorkerSlots> &Given);
-  /// Forgets what entries that aren't live held.
-  void setEntries(const std::vector<EntryName> &Live);
-
-  /// Grants to send: at least one to the asker, perhaps some to others.
-  /// \p OnlyChanges: InUse names only the hosts whose number changed, as the
-  /// scheduler's own entry may say it, since nothing between them is lost.
-  Grants asked(const EntryName &From, const SlotAsk &Ask, Instant Now,
-               bool OnlyChanges = false);
-  /// Voids grants that were never confirmed. Call every TickPeriod.
+  explicit SlotScheduler(PoolName ServedPool) : Pool(std::move(ServedPool)) {}
+
+  void setLimits(SchedulerLimits NewLimits) { Limits = NewLimits; }
+  /// Sets the workers that accept work. A host that is missing gets no further
+  /// grant.
+  void setWorkers(const std::vector<WorkerSlots> &NewWorkers);
+  /// Drops the holdings of entries that aren't live.
+  void setEntries(const std::vector<EntryName> &LiveEntries);
+
+  /// Returns the grants to send: at least one to the sender, and possibly some
+  /// to others. With \p IsDelta, InUse names only the hosts whose slot count
+  /// changed. Only the entry that runs the scheduler may use it, since no
+  /// message between the two is lost.
+  Grants handleRequest(const EntryName &SenderEntry, const SlotAsk &Message,
+                       Instant Now, bool IsDelta = false);
+  /// Expires grants that no request confirmed, and drops silent entries. Call
+  /// every TickPeriod.
   Grants tick(Instant Now);
 
-  std::uint32_t slots() const { return TotalSlots; }
-  /// Slots that nobody holds.
-  std::uint32_t free() const { return TotalSlots - std::min(TotalSlots, Held); }
+  std::uint32_t totalSlots() const { return TotalSlots; }
+  /// Slots that no entry holds.
+  std::uint32_t freeSlots() const {
+    return TotalSlots - std::min(TotalSlots, TotalHeld);
+  }
 
 private:
-  // An entry, and the pool for which it asks.
-  using AskerId = std::pair<EntryName, PoolName>;
+  // An entry, and the pool whose queue requests the slots.
+  using RequesterId = std::pair<EntryName, PoolName>;
 
-  struct Pending {
+  struct PendingGrant {
     std::uint64_t Number = 0;
     HostName Host;
     std::uint32_t Slots = 0;
     JobClass Class = JobClass::Prompt;
-    Instant VoidAt{};
+    Instant Expiry{};
   };
-  struct Asker {
+  struct Requester {
     std::uint64_t Sequence = 0;
-    // Slots held by host as of the last ask, and their sum.
-    std::unordered_map<HostName, std::uint32_t> Holds;
-    std::uint32_t HoldsTotal = 0;
-    std::vector<HostName> Avoid;
-    Instant At{};
+    // Slots held on each host as of the last request, and their sum.
+    std::unordered_map<HostName, std::uint32_t> HeldByHost;
+    std::uint32_t HeldTotal = 0;
+    std::vector<HostName> AvoidList;
+    Instant LastRequestTime{};
     Instant Deadline = Instant::max();
-    // Grants that Holds doesn't show yet.
-    std::vector<Pending> Sent;
-    // Wanted by the last ask and not granted since.
-    std::uint32_t Prompt = 0;
-    std::uint32_t Patient = 0;
+    // Grants that HeldByHost doesn't include yet.
+    std::vector<PendingGrant> PendingGrants;
+    // Slots wanted by the last request and not granted since.
+    std::uint32_t PromptWanted = 0;
+    std::uint32_t PatientWanted = 0;
     std::uint32_t PromptHeld = 0;
     std::uint32_t PatientHeld = 0;
   };
   struct Worker {
     std::uint32_t Slots = 0;
     std::uint32_t Held = 0;
-    std::uint64_t LastGrant = 0;
-    bool Known = false;
+    std::uint64_t LastGrantRound = 0;
+    bool IsListed = false;
   };
-  // Least held first, then the one granted longest ago.
-  using Rank = std::tuple<std::uint32_t, std::uint64_t, HostName>;
-
-  void hold(const HostName &Host, std::uint32_t Slots);
-  void drop(const HostName &Host, std::uint32_t Slots);
-  void rank(const HostName &Host, Worker &W, bool Insert);
-  void forget(const AskerId &Who, const Asker &Gone);
-  void setHold(Asker &A, const HostName &Host, std::uint32_t Slots);
-  void uncount(const AskerId &Who, const Asker &A);
-  static void count(Asker &A, const SlotAsk &Ask);
-  std::map<AskerId, Asker>::iterator nextPrompt();
-  std::map<AskerId, Asker>::iterator nextPatient();
-  bool patientAllowed() const;
-  void notePeak(Instant Now);
-  bool spillAllowed(const PoolName &For) const;
-  const HostName *pick(const Asker &A) const;
-  void noteAvoided(const Asker &A, const std::vector<HostName> &Avoid);
-  bool avoidedByAll(const HostName &Host) const;
-  void distribute(Instant Now, Grants &Out);
-  void grant(const AskerId &Who, Asker &A, JobClass Class, const HostName &Host,
-             Instant Now, Grants &Out);
+  // Fewest held slots first, then the least recently granted.
+  using WorkerRank = std::tuple<std::uint32_t, std::uint64_t, HostName>;
+
+  void addHeld(const HostName &Host, std::uint32_t Slots);
+  void removeHeld(const HostName &Host, std::uint32_t Slots);
+  void updateOpenWorkers(const HostName &Host, Worker &W, bool IsInsert);
+  void releaseRequester(const RequesterId &Id, const Requester &R);
+  void setHeld(Requester &R, const HostName &Host, std::uint32_t Slots);
+  void subtractTotals(const RequesterId &Id, const Requester &R);
+  static void updateDemand(Requester &R, const SlotAsk &Message);
+  std::map<RequesterId, Requester>::iterator nextPromptRequester();
+  std::map<RequesterId, Requester>::iterator nextPatientRequester();
+  bool mayGrantPatient() const;
+  void updatePromptPeak(Instant Now);
+  bool mayGrantTo(const PoolName &QueuePool) const;
+  const HostName *pickWorker(const Requester &R) const;
+  void updateAvoiders(const Requester &R,
+                      const std::vector<HostName> &AvoidList);
+  bool isExcluded(const HostName &Host) const;
+  void distributeSlots(Instant Now, Grants &NewGrants);
+  void grantSlot(const RequesterId &Id, Requester &R, JobClass Class,
+                 const HostName &Host, Instant Now, Grants &NewGrants);
 
   PoolName Pool;
   SchedulerLimits Limits;
-  std::map<AskerId, Asker> Askers;
+  std::map<RequesterId, Requester> Requesters;
   std::unordered_map<HostName, Worker> Workers;
-  // Invariant: exactly the known workers with a free slot.
-  std::set<Rank> Open;
-  // How many askers avoid each host.
-  std::map<HostName, std::uint32_t> Avoiders;
-  // Slots held for each pool.
-  std::map<PoolName, std::uint32_t> HeldFor;
+  // Invariant: exactly the listed workers with a free slot.
+  std::set<WorkerRank> OpenWorkers;
+  // Number of requesters that avoid each host.
+  std::map<HostName, std::uint32_t> AvoiderCounts;
+  // Slots held for each pool's queue.
+  std::map<PoolName, std::uint32_t> HeldByPool;
   std::uint32_t PatientHeld = 0;
-  // Recent peak of the slots that the pool's own prompt work held or wanted.
+  // Decaying peak of the slots that the pool's own prompt work held or wanted.
   double PromptPeak = 0;
-  Instant PeakAt{};
+  Instant PeakTime{};
   std::uint32_t TotalSlots = 0;
-  // Slots of known workers that are held.
-  std::uint32_t Held = 0;
-  std::uint64_t LastNumber = 0;
-  std::uint64_t LastRound = 0;
-  std::uint32_t PromptInRow = 0;
+  // Slots of listed workers that are held.
+  std::uint32_t TotalHeld = 0;
+  std::uint64_t LastGrantNumber = 0;
+  std::uint64_t LastGrantRound = 0;
+  std::uint32_t PromptGrantsInRow = 0;
 };
 
 } // namespace balsamlatch::placement
