--- a/Source/Placement/ClaimKeeper.cpp
+++ b/Source/Placement/ClaimKeeper.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Claims of one shard are written together in one compare-and-swap. What a
-/// lost answer left behind is found by reading the holder back.
+/// The claims of one shard are written together in one compare-and-swap. After
+/// a lost reply, reading the shard back shows which request holds each claim.
 
 #include "balsamlatch/Placement/ClaimKeeper.h"
 
@@ -13,256 +13,274 @@
 
 namespace {
 
-constexpr Duration FirstRetry = std::chrono::milliseconds(20);
-constexpr Duration LongestRetry = std::chrono::seconds(1);
-constexpr unsigned MostDoublings = 6;
-constexpr double BurstCalls = 8;
-/// Ends that wait for the store in one shard; further ones are forgotten, and
-/// their keys then count as taken until their lines expire.
-constexpr std::size_t MostEnds = 4'000;
+constexpr Duration InitialRetryDelay = std::chrono::milliseconds(20);
+constexpr Duration MaxRetryDelay = std::chrono::seconds(1);
+constexpr unsigned MaxRetryDoublings = 6;
+constexpr double CallBurst = 8;
+/// Limit on the outcomes of one shard that wait for the store. Further ones are
+/// dropped, and their keys then count as taken until the claims expire.
+constexpr std::size_t MaxPendingOutcomes = 4'000;
 constexpr int HexBase = 16;
-constexpr std::size_t ShardDigits = 8;
+constexpr std::size_t ShardIndexDigits = 8;
 
-std::uint32_t shardOf(const std::string &Digest, std::uint32_t Shards) {
+std::uint32_t shardIndexOf(const std::string &Digest,
+                           std::uint32_t ShardCount) {
   std::uint32_t Value = 0;
-  std::from_chars(Digest.data(), Digest.data() + ShardDigits, Value, HexBase);
-  return Value % Shards;
+  std::from_chars(Digest.data(), Digest.data() + ShardIndexDigits, Value,
+                  HexBase);
+  return Value % ShardCount;
 }
 
 } // namespace
 
-ClaimKeeper::ClaimKeeper(ClaimOptions Given)
-    : Options(std::move(Given)), Shards(Options.Shards), Calls(BurstCalls) {}
+ClaimKeeper::ClaimKeeper(ClaimOptions InitialOptions)
+    : Options(std::move(InitialOptions)), Shards(Options.ShardCount),
+      CallTokens(CallBurst) {}
 
 std::string ClaimKeeper::shardKey(std::uint32_t Index) const {
   return fmt::format("{}{}", Options.KeyPrefix, Index);
 }
 
-std::vector<ClaimAction> ClaimKeeper::claim(const ClaimKey &Wanted,
-                                            ClaimTime At) {
-  Time = At;
-  Wait W;
-  W.Digest = claimDigest(Wanted.Key);
-  W.Shard = shardOf(W.Digest, Options.Shards);
-  W.GiveUp = At.Now + Wanted.Wait;
-  W.Line = {Wanted.Id, Wanted.BodyDigest, At.Wall + Wanted.Wait,
-            At.Wall + 2 * Wanted.Wait + Options.RepeatWindow +
-                Options.ClockSkew,
-            std::nullopt};
-  GiveUps.emplace(W.GiveUp, Wanted.Id);
-  Shards[W.Shard].Claims.insert(Wanted.Id);
-  const std::uint32_t Index = W.Shard;
-  Waits.emplace(Wanted.Id, std::move(W));
-  kick(Index);
-  return std::exchange(Out, {});
+std::vector<ClaimAction> ClaimKeeper::claim(const ClaimKey &KeyClaim,
+                                            ClaimTime Time) {
+  CurrentTime = Time;
+  PendingClaim Claim;
+  Claim.Digest = claimDigest(KeyClaim.Key);
+  Claim.ShardIndex = shardIndexOf(Claim.Digest, Options.ShardCount);
+  Claim.Deadline = Time.Now + KeyClaim.Wait;
+  Claim.Record = {KeyClaim.Id, KeyClaim.BodyDigest, Time.Wall + KeyClaim.Wait,
+                  Time.Wall + 2 * KeyClaim.Wait + Options.RepeatWindow +
+                      Options.ClockSkew,
+                  std::nullopt};
+  ClaimDeadlines.emplace(Claim.Deadline, KeyClaim.Id);
+  Shards[Claim.ShardIndex].ClaimIds.insert(KeyClaim.Id);
+  const std::uint32_t Index = Claim.ShardIndex;
+  PendingClaims.emplace(KeyClaim.Id, std::move(Claim));
+  startCallIfDue(Index);
+  return std::exchange(Actions, {});
 }
 
-std::vector<ClaimAction> ClaimKeeper::ended(const RequestId &Id, Outcome End,
-                                            ClaimTime At) {
-  Time = At;
-  const auto Found = Won.find(Id);
-  if (Found == Won.end()) {
+std::vector<ClaimAction>
+ClaimKeeper::ended(const RequestId &Id, Outcome FinalOutcome, ClaimTime Time) {
+  CurrentTime = Time;
+  const auto It = WonClaims.find(Id);
+  if (It == WonClaims.end()) {
     return {};
   }
-  Shard &S = Shards[Found->second.Shard];
-  S.Ends.emplace(Id, End);
-  S.EndsDue = std::min(S.EndsDue, At.Now + Options.EndDelay);
+  ShardState &State = Shards[It->second.ShardIndex];
+  State.PendingOutcomes.emplace(Id, FinalOutcome);
+  State.OutcomesDue =
+      std::min(State.OutcomesDue, Time.Now + Options.OutcomeDelay);
   return {};
 }
 
-std::vector<ClaimAction> ClaimKeeper::tick(ClaimTime At) {
-  Time = At;
-  giveUpLate();
-  kickAll();
-  return std::exchange(Out, {});
+std::vector<ClaimAction> ClaimKeeper::tick(ClaimTime Time) {
+  CurrentTime = Time;
+  expireClaims();
+  startDueCalls();
+  return std::exchange(Actions, {});
 }
 
-/// Settles what waited for its whole time. The line may have been written by
-/// a call without an answer, so its removal is noted.
-void ClaimKeeper::giveUpLate() {
-  while (!GiveUps.empty() && GiveUps.begin()->first <= Time.Now) {
-    const RequestId Id = GiveUps.begin()->second;
-    const Wait &W = Waits.at(Id);
-    Shard &S = Shards[W.Shard];
-    if (W.MayBeWritten && S.Ends.size() < MostEnds) {
-      Won.emplace(Id, Held{W.Digest, W.Shard});
-      S.Ends.emplace(Id, Outcome::NotRun);
-      S.EndsDue = std::min(S.EndsDue, Time.Now + Options.EndDelay);
+/// Settles claims whose deadline passed as Unavailable. The claim may have been
+/// written by a call without a reply, so its removal is queued.
+void ClaimKeeper::expireClaims() {
+  while (!ClaimDeadlines.empty() &&
+         ClaimDeadlines.begin()->first <= CurrentTime.Now) {
+    const RequestId Id = ClaimDeadlines.begin()->second;
+    const PendingClaim &Claim = PendingClaims.at(Id);
+    ShardState &State = Shards[Claim.ShardIndex];
+    if (Claim.MayBeWritten &&
+        State.PendingOutcomes.size() < MaxPendingOutcomes) {
+      WonClaims.emplace(Id, WonClaim{Claim.Digest, Claim.ShardIndex});
+      State.PendingOutcomes.emplace(Id, Outcome::NotRun);
+      State.OutcomesDue =
+          std::min(State.OutcomesDue, CurrentTime.Now + Options.OutcomeDelay);
     }
-    settle(Id, ClaimResult::Unavailable);
+    settleClaim(Id, ClaimResult::Unavailable);
   }
 }
 
-bool ClaimKeeper::takeCall() {
-  const double Passed =
-      std::chrono::duration<double>(Time.Now - CallsAt).count();
-  Calls = std::min(BurstCalls, Calls + Passed * Options.CallsPerSecond);
-  CallsAt = Time.Now;
-  if (Calls < 1) {
+bool ClaimKeeper::takeCallToken() {
+  const double ElapsedSeconds =
+      std::chrono::duration<double>(CurrentTime.Now - LastRefill).count();
+  CallTokens =
+      std::min(CallBurst, CallTokens + ElapsedSeconds * Options.CallsPerSecond);
+  LastRefill = CurrentTime.Now;
+  if (CallTokens < 1) {
     return false;
   }
-  Calls -= 1;
+  CallTokens -= 1;
   return true;
 }
 
-/// Starts with another shard each time, so that a spent call rate holds none
-/// of them back for long.
-void ClaimKeeper::kickAll() {
-  for (std::uint32_t I = 0; I < Options.Shards; ++I) {
-    kick((NextShard + I) % Options.Shards);
+/// Starts with a different shard each time, so that no shard is starved when
+/// the call rate is exhausted.
+void ClaimKeeper::startDueCalls() {
+  for (std::uint32_t I = 0; I < Options.ShardCount; ++I) {
+    startCallIfDue((NextShard + I) % Options.ShardCount);
   }
-  NextShard = NextShard + 1 < Options.Shards ? NextShard + 1 : 0;
+  NextShard = NextShard + 1 < Options.ShardCount ? NextShard + 1 : 0;
 }
 
-void ClaimKeeper::kick(std::uint32_t Index) {
-  Shard &S = Shards[Index];
-  const bool EndsDue = !S.Ends.empty() && S.EndsDue <= Time.Now;
-  if (S.InFlight != 0 || (S.Claims.empty() && !EndsDue) ||
-      S.RetryAt > Time.Now || !takeCall()) {
+void ClaimKeeper::startCallIfDue(std::uint32_t Index) {
+  ShardState &State = Shards[Index];
+  const bool AreOutcomesDue =
+      !State.PendingOutcomes.empty() && State.OutcomesDue <= CurrentTime.Now;
+  if (State.InFlightTicket != 0 ||
+      (State.ClaimIds.empty() && !AreOutcomesDue) ||
+      State.RetryTime > CurrentTime.Now || !takeCallToken()) {
     return;
   }
-  if (!S.Known) {
-    call(Index, StoreRead{shardKey(Index)});
+  if (!State.IsContentKnown) {
+    sendCall(Index, StoreRead{shardKey(Index)});
     return;
   }
-  write(Index);
+  writeShard(Index);
 }
 
-void ClaimKeeper::call(std::uint32_t Index, StoreRequest Request) {
+void ClaimKeeper::sendCall(std::uint32_t Index, StoreRequest Request) {
   const std::uint64_t Ticket = ++LastTicket;
-  Tickets.emplace(Ticket, Index);
-  Shards[Index].InFlight = Ticket;
-  Out.push_back(
+  ShardByTicket.emplace(Ticket, Index);
+  Shards[Index].InFlightTicket = Ticket;
+  Actions.push_back(
       ClaimStoreCall{Ticket, std::move(Request), Options.CallTimeout});
 }
 
-void ClaimKeeper::applyEnds(Shard &S) {
-  for (const auto &[Id, End] : S.Ends) {
-    const auto Line = S.Content.Claims.find(Won.at(Id).Digest);
-    if (Line == S.Content.Claims.end() || Line->second.Holder != Id) {
+void ClaimKeeper::applyOutcomes(ShardState &State) {
+  for (const auto &[Id, FinalOutcome] : State.PendingOutcomes) {
+    const auto RecordIt = State.Content.Claims.find(WonClaims.at(Id).Digest);
+    if (RecordIt == State.Content.Claims.end() ||
+        RecordIt->second.Holder != Id) {
       continue;
     }
-    if (End == Outcome::NotRun) {
-      S.Content.Claims.erase(Line);
+    if (FinalOutcome == Outcome::NotRun) {
+      State.Content.Claims.erase(RecordIt);
     } else {
-      Line->second.End = End;
+      RecordIt->second.FinalOutcome = FinalOutcome;
     }
   }
 }
 
-void ClaimKeeper::write(std::uint32_t Index) {
-  Shard &S = Shards[Index];
-  S.Content.dropExpired(Time.Wall);
-  applyEnds(S);
-  for (const RequestId &Id : S.Claims) {
-    Wait &W = Waits.at(Id);
-    W.WrittenEarlier = W.MayBeWritten;
-    W.MayBeWritten = true;
-    S.Content.Claims.emplace(W.Digest, W.Line);
+void ClaimKeeper::writeShard(std::uint32_t Index) {
+  ShardState &State = Shards[Index];
+  State.Content.removeExpired(CurrentTime.Wall);
+  applyOutcomes(State);
+  for (const RequestId &Id : State.ClaimIds) {
+    PendingClaim &Claim = PendingClaims.at(Id);
+    Claim.WasMaybeWritten = Claim.MayBeWritten;
+    Claim.MayBeWritten = true;
+    State.Content.Claims.emplace(Claim.Digest, Claim.Record);
   }
-  std::string Text = S.Content.print();
-  // Content is what was tried, until the reply.
-  S.Known = false;
+  std::string Text = State.Content.print();
+  // Content is the attempted write, and not known to be stored, until the
+  // reply.
+  State.IsContentKnown = false;
   if (Text.size() > Options.MaxShardBytes) {
-    const std::set<RequestId> Claims = S.Claims;
-    for (const RequestId &Id : Claims) {
-      settle(Id, ClaimResult::Unavailable);
+    const std::set<RequestId> ClaimIds = State.ClaimIds;
+    for (const RequestId &Id : ClaimIds) {
+      settleClaim(Id, ClaimResult::Unavailable);
     }
     return;
   }
-  S.Writing = Text;
-  call(Index, StoreSwap{shardKey(Index), S.Version, std::move(Text)});
+  State.InFlightText = Text;
+  sendCall(Index, StoreSwap{shardKey(Index), State.Version, std::move(Text)});
 }
 
 std::vector<ClaimAction> ClaimKeeper::replied(std::uint64_t Ticket,
                                               const StoreReply &Reply,
-                                              ClaimTime At) {
-  Time = At;
-  giveUpLate();
-  const auto Found = Tickets.find(Ticket);
-  if (Found == Tickets.end()) {
-    return std::exchange(Out, {});
+                                              ClaimTime Time) {
+  CurrentTime = Time;
+  expireClaims();
+  const auto It = ShardByTicket.find(Ticket);
+  if (It == ShardByTicket.end()) {
+    return std::exchange(Actions, {});
   }
-  const std::uint32_t Index = Found->second;
-  Tickets.erase(Found);
-  Shard &S = Shards[Index];
-  S.InFlight = 0;
-  if (takeContent(S, Reply)) {
-    settleFromContent(S);
+  const std::uint32_t Index = It->second;
+  ShardByTicket.erase(It);
+  ShardState &State = Shards[Index];
+  State.InFlightTicket = 0;
+  if (updateContent(State, Reply)) {
+    settleClaims(State);
   } else {
-    const unsigned Doublings = std::min(S.Faults++, MostDoublings);
-    S.RetryAt =
-        Time.Now + std::min(LongestRetry, FirstRetry * (1 << Doublings));
+    const unsigned Doublings =
+        std::min(State.FailureCount++, MaxRetryDoublings);
+    State.RetryTime =
+        CurrentTime.Now +
+        std::min(MaxRetryDelay, InitialRetryDelay * (1 << Doublings));
   }
-  kick(Index);
-  return std::exchange(Out, {});
+  startCallIfDue(Index);
+  return std::exchange(Actions, {});
 }
 
-bool ClaimKeeper::takeContent(Shard &S, const StoreReply &Reply) {
-  const std::string Written = std::exchange(S.Writing, {});
-  if (absl::IsUnavailable(Reply.Status) && !Written.empty()) {
-    // Only this write surely had no effect; an earlier one may come late.
-    for (const RequestId &Id : S.Claims) {
-      Wait &W = Waits.at(Id);
-      W.MayBeWritten = W.WrittenEarlier;
+bool ClaimKeeper::updateContent(ShardState &State, const StoreReply &Reply) {
+  const std::string WrittenText = std::exchange(State.InFlightText, {});
+  if (absl::IsUnavailable(Reply.Status) && !WrittenText.empty()) {
+    // Unavailable proves that this write had no effect; an earlier one may
+    // still take effect.
+    for (const RequestId &Id : State.ClaimIds) {
+      PendingClaim &Claim = PendingClaims.at(Id);
+      Claim.MayBeWritten = Claim.WasMaybeWritten;
     }
   }
   if (!Reply.Status.ok() && !absl::IsAborted(Reply.Status)) {
     return false;
   }
-  if (Written.empty() || Reply.Entry.Value != Written) {
+  if (WrittenText.empty() || Reply.Entry.Value != WrittenText) {
     absl::StatusOr<ClaimShard> Content = parseClaimShard(Reply.Entry.Value);
     if (!Content.ok()) {
       return false;
     }
-    S.Content = *std::move(Content);
+    State.Content = *std::move(Content);
   }
-  S.Version = Reply.Entry.Version;
-  S.Known = true;
-  S.Faults = 0;
+  State.Version = Reply.Entry.Version;
+  State.IsContentKnown = true;
+  State.FailureCount = 0;
   return true;
 }
 
-/// Settles every claim whose key the store's content names, and forgets the
-/// ends that it holds.
-void ClaimKeeper::settleFromContent(Shard &S) {
-  const std::set<RequestId> Claims = S.Claims;
-  for (const RequestId &Id : Claims) {
-    const Wait &W = Waits.at(Id);
-    const auto Line = S.Content.Claims.find(W.Digest);
-    if (Line == S.Content.Claims.end()) {
+/// Settles each claim whose key the store's content contains, and removes the
+/// outcomes that are recorded there.
+void ClaimKeeper::settleClaims(ShardState &State) {
+  const std::set<RequestId> ClaimIds = State.ClaimIds;
+  for (const RequestId &Id : ClaimIds) {
+    const PendingClaim &Claim = PendingClaims.at(Id);
+    const auto RecordIt = State.Content.Claims.find(Claim.Digest);
+    if (RecordIt == State.Content.Claims.end()) {
       continue;
     }
-    if (Line->second.Holder == Id) {
-      Won.emplace(Id, Held{W.Digest, W.Shard});
-      settle(Id, ClaimResult::Won);
-    } else if (Line->second.BodyDigest != W.Line.BodyDigest) {
-      settle(Id, ClaimResult::OtherBody);
+    if (RecordIt->second.Holder == Id) {
+      WonClaims.emplace(Id, WonClaim{Claim.Digest, Claim.ShardIndex});
+      settleClaim(Id, ClaimResult::Won);
+    } else if (RecordIt->second.BodyDigest != Claim.Record.BodyDigest) {
+      settleClaim(Id, ClaimResult::OtherBody);
     } else {
-      settle(Id, ClaimResult::Taken, Line->second.End);
+      settleClaim(Id, ClaimResult::Taken, RecordIt->second.FinalOutcome);
     }
   }
-  std::erase_if(S.Ends, [&](const auto &Item) {
-    const auto Line = S.Content.Claims.find(Won.at(Item.first).Digest);
-    const bool Mine =
-        Line != S.Content.Claims.end() && Line->second.Holder == Item.first;
-    const bool Done = !Mine || Line->second.End == Item.second;
-    if (Done) {
-      Won.erase(Item.first);
+  std::erase_if(State.PendingOutcomes, [&](const auto &Item) {
+    const auto RecordIt =
+        State.Content.Claims.find(WonClaims.at(Item.first).Digest);
+    const bool IsHolder = RecordIt != State.Content.Claims.end() &&
+                          RecordIt->second.Holder == Item.first;
+    const bool IsResolved =
+        !IsHolder || RecordIt->second.FinalOutcome == Item.second;
+    if (IsResolved) {
+      WonClaims.erase(Item.first);
     }
-    return Done;
+    return IsResolved;
   });
-  S.EndsDue = S.Ends.empty() ? Instant::max() : S.EndsDue;
+  State.OutcomesDue =
+      State.PendingOutcomes.empty() ? Instant::max() : State.OutcomesDue;
 }
 
-void ClaimKeeper::settle(const RequestId &Id, ClaimResult Result,
-                         std::optional<Outcome> First) {
-  const auto Found = Waits.find(Id);
-  const Instant Limit = Found->second.GiveUp;
-  GiveUps.erase({Limit, Id});
-  Shards[Found->second.Shard].Claims.erase(Id);
-  Waits.erase(Found);
-  Out.push_back(ClaimSettled{Id, Result, Limit, First});
+void ClaimKeeper::settleClaim(const RequestId &Id, ClaimResult Result,
+                              std::optional<Outcome> PriorOutcome) {
+  const auto It = PendingClaims.find(Id);
+  const Instant Deadline = It->second.Deadline;
+  ClaimDeadlines.erase({Deadline, Id});
+  Shards[It->second.ShardIndex].ClaimIds.erase(Id);
+  PendingClaims.erase(It);
+  Actions.push_back(ClaimSettled{Id, Result, Deadline, PriorOutcome});
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/ClaimShard.cpp
+++ b/Source/Placement/ClaimShard.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Text form of a claim shard: `digest holder body before expires end`, times
-/// in milliseconds since 1970, `-` for an empty field.
+/// Text form of a claim shard, one claim a line: `digest holder body before
+/// expires end`. `before` is the dispatch deadline; times are in milliseconds
+/// since 1970; `-` stands for an empty field.
 
 #include "balsamlatch/Placement/ClaimShard.h"
 
@@ -18,23 +19,23 @@
 
 constexpr std::size_t FieldCount = 6;
 constexpr std::size_t DigestBytes = 16;
-constexpr std::string_view Empty = "-";
+constexpr std::string_view EmptyField = "-";
 
-std::int64_t millisOf(WallTime Time) {
+std::int64_t toMillis(WallTime Time) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              Time.time_since_epoch())
       .count();
 }
 
-std::string_view endCode(const std::optional<Outcome> &End) {
-  return End ? outcomeCode(*End) : Empty.data();
+std::string_view outcomeField(const std::optional<Outcome> &FinalOutcome) {
+  return FinalOutcome ? outcomeCode(*FinalOutcome) : EmptyField.data();
 }
 
-std::optional<Outcome> endOf(std::string_view Code) {
-  for (const Outcome End :
+std::optional<Outcome> parseOutcome(std::string_view Code) {
+  for (const Outcome Candidate :
        {Outcome::Answered, Outcome::NotRun, Outcome::Unknown}) {
-    if (Code == outcomeCode(End)) {
-      return End;
+    if (Code == outcomeCode(Candidate)) {
+      return Candidate;
     }
   }
   return std::nullopt;
@@ -48,23 +49,24 @@
   return WallTime(std::chrono::milliseconds(Millis));
 }
 
-absl::Status parseLine(std::string_view Text, ClaimShard &Into) {
+absl::Status parseLine(std::string_view Text, ClaimShard &Shard) {
   const std::vector<std::string> Fields =
       absl::StrSplit(absl::string_view(Text.data(), Text.size()), ' ');
   if (Fields.size() != FieldCount) {
     return absl::InvalidArgumentError(
         fmt::format("claim line with {} fields: {}", Fields.size(), Text));
   }
-  const absl::StatusOr<WallTime> Before = parseTime(Fields[3]);
+  const absl::StatusOr<WallTime> DispatchDeadline = parseTime(Fields[3]);
   const absl::StatusOr<WallTime> Expires = parseTime(Fields[4]);
-  if (!Before.ok() || !Expires.ok()) {
+  if (!DispatchDeadline.ok() || !Expires.ok()) {
     return absl::InvalidArgumentError(
         fmt::format("claim line with a bad time: {}", Text));
   }
-  Into.Claims.insert_or_assign(Fields[0],
-                               ClaimLine{RequestId(Fields[1]),
-                                         Fields[2] == Empty ? "" : Fields[2],
-                                         *Before, *Expires, endOf(Fields[5])});
+  Shard.Claims.insert_or_assign(
+      Fields[0],
+      ClaimRecord{RequestId(Fields[1]),
+                  Fields[2] == EmptyField ? "" : Fields[2], *DispatchDeadline,
+                  *Expires, parseOutcome(Fields[5])});
   return absl::OkStatus();
 }
 
@@ -72,17 +74,17 @@
 
 std::string ClaimShard::print() const {
   std::string Text;
-  for (const auto &[Digest, Line] : Claims) {
+  for (const auto &[Digest, Record] : Claims) {
     fmt::format_to(std::back_inserter(Text), "{} {} {} {} {} {}\n", Digest,
-                   Line.Holder.Text,
-                   Line.BodyDigest.empty() ? Empty : Line.BodyDigest,
-                   millisOf(Line.DispatchBefore), millisOf(Line.Expires),
-                   endCode(Line.End));
+                   Record.Holder.Text,
+                   Record.BodyDigest.empty() ? EmptyField : Record.BodyDigest,
+                   toMillis(Record.DispatchDeadline), toMillis(Record.Expires),
+                   outcomeField(Record.FinalOutcome));
   }
   return Text;
 }
 
-void ClaimShard::dropExpired(WallTime Now) {
+void ClaimShard::removeExpired(WallTime Now) {
   std::erase_if(Claims,
                 [&](const auto &Item) { return Item.second.Expires < Now; });
 }
@@ -90,11 +92,12 @@
 absl::StatusOr<ClaimShard> parseClaimShard(std::string_view Text) {
   ClaimShard Shard;
   while (!Text.empty()) {
-    const std::size_t End = std::min(Text.find('\n'), Text.size());
-    if (absl::Status Bad = parseLine(Text.substr(0, End), Shard); !Bad.ok()) {
-      return Bad;
+    const std::size_t LineEnd = std::min(Text.find('\n'), Text.size());
+    if (absl::Status Status = parseLine(Text.substr(0, LineEnd), Shard);
+        !Status.ok()) {
+      return Status;
     }
-    Text.remove_prefix(std::min(End + 1, Text.size()));
+    Text.remove_prefix(std::min(LineEnd + 1, Text.size()));
   }
   return Shard;
 }
--- a/Source/Placement/EngineAttempts.cpp
+++ b/Source/Placement/EngineAttempts.cpp
@@ -146,7 +146,7 @@
 
 /// Why the request must not be sent now; empty: it may.
 std::optional<Reason> Engine::Impl::obstacle(const OpenRequest &R) {
-  if (R.DispatchBefore <= Now) {
+  if (R.DispatchDeadline <= Now) {
     return Reason::ClaimUnavailable;
   }
   if (R.Deadline - Now < Sizes.shortestRunTime(R.Rule, Now)) {
@@ -206,7 +206,7 @@
   }
   Out.push_back(StartAttempt{
       Attempt, R.Asked.Id, R.Asked.Job, View.Host, View.At, leaseFor(R),
-      std::min({R.Deadline, R.DispatchBefore, Now + DispatchWithin})});
+      std::min({R.Deadline, R.DispatchDeadline, Now + DispatchWithin})});
   const Reason Why = R.Hedging     ? Reason::Hedged
                      : R.Tries > 1 ? Reason::Retried
                      : OnSpare     ? Reason::PlacedOnSpare
--- a/Source/Placement/EngineImpl.h
+++ b/Source/Placement/EngineImpl.h
@@ -44,7 +44,7 @@
   Phase At = Phase::Waiting;
   Instant Deadline{};
   /// A claim's limit; no attempt starts later.
-  Instant DispatchBefore = Instant::max();
+  Instant DispatchDeadline = Instant::max();
   /// End of a back-off, or the time to hedge; the timer that is set.
   std::optional<Instant> Timer;
   unsigned Tries = 0;
--- a/Source/Placement/EngineRequests.cpp
+++ b/Source/Placement/EngineRequests.cpp
@@ -116,7 +116,7 @@
   Claims.erase(Found);
   switch (E.Result) {
   case ClaimResult::Won:
-    R->DispatchBefore = E.DispatchBefore;
+    R->DispatchDeadline = E.DispatchDeadline;
     enqueue(*R);
     return;
   case ClaimResult::Taken:
--- a/Source/Placement/include/balsamlatch/Placement/ClaimKeeper.h
+++ b/Source/Placement/include/balsamlatch/Placement/ClaimKeeper.h
@@ -1,7 +1,7 @@
 /// \file
 /// Claims on idempotency keys in the store, so that a non-idempotent request
-/// runs at most once whichever entries its caller repeats it through. A state
-/// machine without I/O: it emits store calls and is told their replies.
+/// runs at most once, whichever entry its caller repeats it through. A state
+/// machine without I/O: it emits store calls and receives their replies.
 
 #ifndef BALSAMLATCH_PLACEMENT_CLAIMKEEPER_H
 #define BALSAMLATCH_PLACEMENT_CLAIMKEEPER_H
@@ -21,33 +21,36 @@
 namespace balsamlatch::placement {
 
 struct ClaimOptions {
-  /// Prefix of the shards' keys in the store.
+  /// Prefix of the store keys of the shards.
   std::string KeyPrefix = "claims/";
-  /// Must be the same in every entry.
-  std::uint32_t Shards = 8;
+  /// Number of shards; must be the same in every entry.
+  std::uint32_t ShardCount = 8;
   std::size_t MaxShardBytes = 500'000;
-  /// How long after its last possible run a key is remembered.
+  /// How long a key is remembered after the last instant at which its request
+  /// may run.
   Duration RepeatWindow = std::chrono::minutes(10);
-  /// Most difference between the calendar clocks of two entries.
+  /// Largest difference between the wall clocks of two entries.
   Duration ClockSkew = std::chrono::minutes(1);
-  /// Store calls a second that this entry makes for claims at most.
+  /// Limit on the store calls for claims, per second.
   double CallsPerSecond = 50;
   Duration CallTimeout = std::chrono::milliseconds(500);
-  /// Ends of requests wait this long for a claim to be written along with.
-  Duration EndDelay = std::chrono::seconds(2);
+  /// Outcomes are written after this delay unless a claim of the same shard is
+  /// written earlier.
+  Duration OutcomeDelay = std::chrono::seconds(2);
 };
 
-/// A call that the shell makes; the reply is handed back with the ticket.
+/// A store call that the embedding program makes; it passes the reply back with
+/// the ticket.
 struct ClaimStoreCall {
   std::uint64_t Ticket = 0;
   StoreRequest Request;
-  /// After this time the shell replies DeadlineExceeded.
+  /// After this time the embedding program replies DeadlineExceeded.
   Duration Timeout{};
 };
 
 using ClaimAction = std::variant<ClaimStoreCall, ClaimSettled>;
 
-/// Now and the calendar time, read together.
+/// Monotonic and wall-clock time, read together.
 struct ClaimTime {
   Instant Now{};
   WallTime Wall{};
@@ -55,89 +58,91 @@
 
 /// Not thread safe.
 ///
-/// A claim line holds the last instant at which its request may be
-/// dispatched. The line outlives that instant by the longest run, which is no
-/// longer than the deadline, plus the repeat window and the clock skew, so no
-/// entry can win the key again while the first request may still start or run.
+/// A claim holds the dispatch deadline of its request. It outlives that
+/// deadline by the longest run, which is at most as long as the time to the
+/// deadline, plus the repeat window and the clock skew. So no entry can win the
+/// key again while the first request may still start or run.
 class ClaimKeeper {
 public:
   explicit ClaimKeeper(ClaimOptions Options);
 
-  std::vector<ClaimAction> claim(const ClaimKey &Wanted, ClaimTime At);
+  std::vector<ClaimAction> claim(const ClaimKey &KeyClaim, ClaimTime Time);
 
   std::vector<ClaimAction> replied(std::uint64_t Ticket,
-                                   const StoreReply &Reply, ClaimTime At);
+                                   const StoreReply &Reply, ClaimTime Time);
 
-  /// How a request that won its claim ended. NotRun gives the key free.
-  std::vector<ClaimAction> ended(const RequestId &Id, Outcome End,
-                                 ClaimTime At);
+  /// Records the outcome of a request that won its claim. NotRun releases the
+  /// key.
+  std::vector<ClaimAction> ended(const RequestId &Id, Outcome FinalOutcome,
+                                 ClaimTime Time);
 
   /// Call every TickPeriod.
-  std::vector<ClaimAction> tick(ClaimTime At);
+  std::vector<ClaimAction> tick(ClaimTime Time);
 
-  /// Claims that wait for the store.
-  std::size_t waiting() const { return Waits.size(); }
-  /// Store calls made since the start.
-  std::uint64_t calls() const { return LastTicket; }
+  /// Number of claims that wait for the store.
+  std::size_t pendingClaims() const { return PendingClaims.size(); }
+  /// Number of store calls made since the start.
+  std::uint64_t callCount() const { return LastTicket; }
 
 private:
-  struct Wait {
-    ClaimLine Line;
+  struct PendingClaim {
+    ClaimRecord Record;
     std::string Digest;
-    std::uint32_t Shard = 0;
-    Instant GiveUp{};
-    // Set while a write with the line may have taken effect.
+    std::uint32_t ShardIndex = 0;
+    Instant Deadline{};
+    // Set while a write that contains the claim may have taken effect.
     bool MayBeWritten = false;
-    /// MayBeWritten before the write in flight.
-    bool WrittenEarlier = false;
+    /// Value of MayBeWritten before the write in flight.
+    bool WasMaybeWritten = false;
   };
-  struct Shard {
-    // Invariant: what the store held at Version, if Known.
+  struct ShardState {
+    // Invariant: the value that the store held at Version, if IsContentKnown.
     ClaimShard Content;
     std::uint64_t Version = 0;
-    bool Known = false;
-    // Invariant: the ticket of the only call in flight; 0: none.
-    std::uint64_t InFlight = 0;
-    // The text of the write in flight; empty: a read.
-    std::string Writing;
-    Instant RetryAt{};
-    unsigned Faults = 0;
-    std::set<RequestId> Claims;
-    // Ends to write; NotRun and given up claims remove their line.
-    std::map<RequestId, Outcome> Ends;
-    Instant EndsDue = Instant::max();
+    bool IsContentKnown = false;
+    // Invariant: ticket of the only call in flight; 0 if there is none.
+    std::uint64_t InFlightTicket = 0;
+    // Text of the write in flight; empty for a read.
+    std::string InFlightText;
+    Instant RetryTime{};
+    unsigned FailureCount = 0;
+    std::set<RequestId> ClaimIds;
+    // Outcomes to write. NotRun, which also stands for an expired claim,
+    // removes the claim.
+    std::map<RequestId, Outcome> PendingOutcomes;
+    Instant OutcomesDue = Instant::max();
   };
 
-  void kick(std::uint32_t Index);
-  void kickAll();
-  void call(std::uint32_t Index, StoreRequest Request);
-  void write(std::uint32_t Index);
-  bool takeContent(Shard &S, const StoreReply &Reply);
-  void settleFromContent(Shard &S);
-  void applyEnds(Shard &S);
-  void settle(const RequestId &Id, ClaimResult Result,
-              std::optional<Outcome> First = std::nullopt);
-  void giveUpLate();
-  bool takeCall();
+  void startCallIfDue(std::uint32_t Index);
+  void startDueCalls();
+  void sendCall(std::uint32_t Index, StoreRequest Request);
+  void writeShard(std::uint32_t Index);
+  bool updateContent(ShardState &State, const StoreReply &Reply);
+  void settleClaims(ShardState &State);
+  void applyOutcomes(ShardState &State);
+  void settleClaim(const RequestId &Id, ClaimResult Result,
+                   std::optional<Outcome> PriorOutcome = std::nullopt);
+  void expireClaims();
+  bool takeCallToken();
   std::string shardKey(std::uint32_t Index) const;
 
   const ClaimOptions Options;
-  ClaimTime Time;
-  std::vector<Shard> Shards;
-  std::unordered_map<RequestId, Wait> Waits;
-  // Claims won and not ended, with the digest of their key.
-  struct Held {
+  ClaimTime CurrentTime;
+  std::vector<ShardState> Shards;
+  std::unordered_map<RequestId, PendingClaim> PendingClaims;
+  // Claims whose outcome is not recorded yet, with the digest of their key.
+  struct WonClaim {
     std::string Digest;
-    std::uint32_t Shard = 0;
+    std::uint32_t ShardIndex = 0;
   };
-  std::unordered_map<RequestId, Held> Won;
-  std::set<std::pair<Instant, RequestId>> GiveUps;
-  std::unordered_map<std::uint64_t, std::uint32_t> Tickets;
+  std::unordered_map<RequestId, WonClaim> WonClaims;
+  std::set<std::pair<Instant, RequestId>> ClaimDeadlines;
+  std::unordered_map<std::uint64_t, std::uint32_t> ShardByTicket;
   std::uint64_t LastTicket = 0;
   std::uint32_t NextShard = 0;
-  double Calls = 0;
-  Instant CallsAt{};
-  std::vector<ClaimAction> Out;
+  double CallTokens = 0;
+  Instant LastRefill{};
+  std::vector<ClaimAction> Actions;
 };
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/ClaimShard.h
+++ b/Source/Placement/include/balsamlatch/Placement/ClaimShard.h
@@ -1,5 +1,5 @@
 /// \file
-/// The value of one claim shard in the store: one line a claim.
+/// The value of one claim shard in the store: a text with one line per claim.
 
 #ifndef BALSAMLATCH_PLACEMENT_CLAIMSHARD_H
 #define BALSAMLATCH_PLACEMENT_CLAIMSHARD_H
@@ -17,35 +17,36 @@
 
 namespace balsamlatch::placement {
 
-/// One claim. The request's identifier is the writer's token.
-struct ClaimLine {
+/// One claim. The identifier of the request that holds it marks its writer.
+struct ClaimRecord {
   RequestId Holder;
   std::string BodyDigest;
-  /// The holder dispatches only before this time.
-  WallTime DispatchBefore{};
-  /// The line is dropped after this time.
+  /// The holder starts no attempt from this time on.
+  WallTime DispatchDeadline{};
+  /// The claim is removed after this time.
   WallTime Expires{};
-  std::optional<Outcome> End;
+  std::optional<Outcome> FinalOutcome;
 
-  auto operator<=>(const ClaimLine &) const = default;
+  auto operator<=>(const ClaimRecord &) const = default;
 };
 
-/// Claims by the digest of their key.
+/// The claims of one shard, by the digest of their key.
 struct ClaimShard {
-  std::map<std::string, ClaimLine> Claims;
+  std::map<std::string, ClaimRecord> Claims;
 
-  /// Text form for the store. Digests and holders have no spaces.
+  /// Text form for the store. Digests and request identifiers must not contain
+  /// spaces.
   std::string print() const;
 
-  void dropExpired(WallTime Now);
+  void removeExpired(WallTime Now);
 
   bool operator==(const ClaimShard &) const = default;
 };
 
-/// Reads the text form back. InvalidArgument names the line at fault.
+/// Parses the text form. An InvalidArgument error names the faulty line.
 absl::StatusOr<ClaimShard> parseClaimShard(std::string_view Text);
 
-/// A digest of a key: 32 hexadecimal digits.
+/// Digest of a key: the first 16 bytes of its SHA-256 as 32 hexadecimal digits.
 std::string claimDigest(std::string_view Key);
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -148,7 +148,7 @@
   RequestId Id;
   ClaimResult Result = ClaimResult::Unavailable;
   /// With Won: dispatch only before this instant.
-  Instant DispatchBefore = Instant::max();
+  Instant DispatchDeadline = Instant::max();
   /// With Taken: how the first request ended, if its entry recorded that.
   std::optional<Outcome> First;
 };
--- a/Tests/Placement/ClaimKeeperTest.cpp
+++ b/Tests/Placement/ClaimKeeperTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Claims on idempotency keys against a store that loses answers, is down, or
-/// is written to by another entry.
+/// Claims on idempotency keys while the store loses replies, is down, or is
+/// written by other entries.
 
 #include "balsamlatch/Placement/ClaimKeeper.h"
 
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// A keeper with its calls and what it settled.
+/// One entry: its claim keeper, the pending store calls and the settled claims.
 struct Entry {
   explicit Entry(FakeStore &Store) : Keeper({}), Backend(Store) {}
 
-  void take(const std::vector<ClaimAction> &Actions) {
+  void process(const std::vector<ClaimAction> &Actions) {
     for (const ClaimAction &A : Actions) {
       if (const auto *Call = std::get_if<ClaimStoreCall>(&A)) {
         Calls.push_back(*Call);
@@ -33,30 +33,30 @@
 
   void claim(const std::string &Id, const std::string &Key,
              const std::string &Body = "b") {
-    take(Keeper.claim({RequestId(Id), Key, Body, 2s}, Time));
+    process(Keeper.claim({RequestId(Id), Key, Body, 2s}, Time));
   }
 
-  /// Carries out the calls that wait, with the given fault.
-  void serve(StoreFault Fault = StoreFault::None) {
-    std::vector<ClaimStoreCall> Now;
-    Now.swap(Calls);
-    for (const ClaimStoreCall &Call : Now) {
-      take(Keeper.replied(Call.Ticket, Backend.submit(Call.Request, Fault),
-                          Time));
+  /// Makes the pending store calls, with the given fault.
+  void runCalls(StoreFault Fault = StoreFault::None) {
+    std::vector<ClaimStoreCall> Batch;
+    Batch.swap(Calls);
+    for (const ClaimStoreCall &Call : Batch) {
+      process(Keeper.replied(Call.Ticket, Backend.submit(Call.Request, Fault),
+                             Time));
     }
   }
 
-  void settleAll(StoreFault Fault = StoreFault::None) {
+  void runUntilSettled(StoreFault Fault = StoreFault::None) {
     for (int I = 0; I < 20; ++I) {
-      serve(Fault);
-      pass(20ms);
+      runCalls(Fault);
+      advance(20ms);
     }
   }
 
-  void pass(Duration Step) {
+  void advance(Duration Step) {
     Time.Now += Step;
     Time.Wall += Step;
-    take(Keeper.tick(Time));
+    process(Keeper.tick(Time));
   }
 
   ClaimResult result(const std::string &Id) {
@@ -82,13 +82,13 @@
   A.claim("a1", "key");
   B.claim("b1", "key");
   for (int I = 0; I < 6; ++I) {
-    A.serve();
-    B.serve();
+    A.runCalls();
+    B.runCalls();
   }
   BOOST_TEST((A.result("a1") == ClaimResult::Won));
   BOOST_TEST((B.result("b1") == ClaimResult::Taken));
   B.claim("b2", "key", "another body");
-  B.settleAll();
+  B.runUntilSettled();
   BOOST_TEST((B.result("b2") == ClaimResult::OtherBody));
 }
 
@@ -96,9 +96,9 @@
   FakeStore Backend;
   Entry A(Backend);
   A.claim("a1", "key");
-  A.serve();
-  A.serve(StoreFault::AnswerLost);
-  A.settleAll();
+  A.runCalls();
+  A.runCalls(StoreFault::AnswerLost);
+  A.runUntilSettled();
   BOOST_TEST((A.result("a1") == ClaimResult::Won));
 }
 
@@ -106,9 +106,9 @@
   FakeStore Backend;
   Entry A(Backend);
   A.claim("a1", "key");
-  A.settleAll(StoreFault::Down);
+  A.runUntilSettled(StoreFault::Down);
   BOOST_TEST(!A.Results.contains("a1"));
-  A.pass(2s);
+  A.advance(2s);
   BOOST_TEST((A.result("a1") == ClaimResult::Unavailable));
 }
 
@@ -117,14 +117,14 @@
   Entry A(Backend);
   Entry B(Backend);
   A.claim("a1", "key");
-  A.serve();
-  A.serve(StoreFault::AnswerLost);
-  A.pass(3s);
+  A.runCalls();
+  A.runCalls(StoreFault::AnswerLost);
+  A.advance(3s);
   BOOST_TEST((A.result("a1") == ClaimResult::Unavailable));
-  A.pass(3s);
-  A.settleAll();
+  A.advance(3s);
+  A.runUntilSettled();
   B.claim("b1", "key");
-  B.settleAll();
+  B.runUntilSettled();
   BOOST_TEST((B.result("b1") == ClaimResult::Won));
 }
 
@@ -132,32 +132,32 @@
   FakeStore Backend;
   Entry A(Backend);
   A.claim("a1", "key");
-  A.serve();
-  // The first write gets no answer and is carried out later.
+  A.runCalls();
+  // The first write gets no reply and takes effect later.
   BOOST_REQUIRE(A.Calls.size() == 1U);
-  const ClaimStoreCall Late = A.Calls.front();
+  const ClaimStoreCall LateCall = A.Calls.front();
   A.Calls.clear();
-  A.take(A.Keeper.replied(
-      Late.Ticket, {absl::DeadlineExceededError("no answer"), {}}, A.Time));
-  // The second one is surely not carried out.
-  bool Refused = false;
-  for (int I = 0; I < 20 && !Refused; ++I) {
-    Refused = !A.Calls.empty() &&
-              std::holds_alternative<StoreSwap>(A.Calls.front().Request);
-    A.serve(Refused ? StoreFault::Down : StoreFault::None);
-    A.pass(20ms);
+  A.process(A.Keeper.replied(
+      LateCall.Ticket, {absl::DeadlineExceededError("no answer"), {}}, A.Time));
+  // The second write certainly has no effect.
+  bool IsSecondWrite = false;
+  for (int I = 0; I < 20 && !IsSecondWrite; ++I) {
+    IsSecondWrite = !A.Calls.empty() &&
+                    std::holds_alternative<StoreSwap>(A.Calls.front().Request);
+    A.runCalls(IsSecondWrite ? StoreFault::Down : StoreFault::None);
+    A.advance(20ms);
   }
-  BOOST_REQUIRE(Refused);
-  Backend.submit(Late.Request, StoreFault::None);
-  A.pass(2s);
+  BOOST_REQUIRE(IsSecondWrite);
+  Backend.submit(LateCall.Request, StoreFault::None);
+  A.advance(2s);
   BOOST_TEST((A.result("a1") == ClaimResult::Unavailable));
   for (int I = 0; I < 5; ++I) {
-    A.pass(1s);
-    A.settleAll();
+    A.advance(1s);
+    A.runUntilSettled();
   }
   Entry B(Backend);
   B.claim("b1", "key");
-  B.settleAll();
+  B.runUntilSettled();
   BOOST_TEST((B.result("b1") == ClaimResult::Won));
 }
 
@@ -167,14 +167,14 @@
   Entry B(Backend);
   A.claim("a1", "answered");
   A.claim("a2", "not-run");
-  A.settleAll();
-  A.take(A.Keeper.ended(RequestId("a1"), Outcome::Answered, A.Time));
-  A.take(A.Keeper.ended(RequestId("a2"), Outcome::NotRun, A.Time));
-  A.pass(3s);
-  A.settleAll();
+  A.runUntilSettled();
+  A.process(A.Keeper.ended(RequestId("a1"), Outcome::Answered, A.Time));
+  A.process(A.Keeper.ended(RequestId("a2"), Outcome::NotRun, A.Time));
+  A.advance(3s);
+  A.runUntilSettled();
   B.claim("b1", "answered");
   B.claim("b2", "not-run");
-  B.settleAll();
+  B.runUntilSettled();
   BOOST_TEST((B.result("b1") == ClaimResult::Taken));
   BOOST_TEST((B.Results.at("b1").First == Outcome::Answered));
   BOOST_TEST((B.result("b2") == ClaimResult::Won));
@@ -186,38 +186,40 @@
   for (int I = 0; I < 1000; ++I) {
     A.claim(fmt::format("a{}", I), fmt::format("key{}", I));
   }
-  A.settleAll();
-  A.settleAll();
+  A.runUntilSettled();
+  A.runUntilSettled();
   BOOST_TEST(A.Results.size() == 1000u);
-  BOOST_TEST(A.Keeper.calls() < 80u);
+  BOOST_TEST(A.Keeper.callCount() < 80u);
 }
 
 BOOST_AUTO_TEST_CASE(NoKeyIsWonTwiceWhateverTheStoreDoes) {
   BOOST_TEST(rc::check("one winner", [] {
     FakeStore Backend;
     std::vector<Entry> Entries(3, Entry(Backend));
-    const auto Steps =
+    const auto StepValues =
         *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 1000));
-    int Next = 0;
-    for (const int Step : Steps) {
+    int LastRequest = 0;
+    for (const int Step : StepValues) {
       Entry &E = Entries[Step % 3];
-      const int What = Step / 3 % 8;
-      if (What < 2) {
-        E.claim(fmt::format("r{}", ++Next), fmt::format("key{}", Step % 2));
-      } else if (What == 2) {
-        E.pass(100ms);
+      const int Operation = Step / 3 % 8;
+      if (Operation < 2) {
+        E.claim(fmt::format("r{}", ++LastRequest),
+                fmt::format("key{}", Step % 2));
+      } else if (Operation == 2) {
+        E.advance(100ms);
       } else {
-        E.serve(static_cast<StoreFault>(What - 3 < 3 ? What - 3 : 0));
+        E.runCalls(
+            static_cast<StoreFault>(Operation - 3 < 3 ? Operation - 3 : 0));
       }
     }
     std::map<std::string, int> Winners;
     for (Entry &E : Entries) {
-      E.settleAll();
+      E.runUntilSettled();
       for (const auto &[Id, Settled] : E.Results) {
-        const auto Line = Backend.holderOf(Id);
-        RC_ASSERT(Settled.Result != ClaimResult::Won || Line.has_value());
+        const auto Digest = Backend.claimDigestOf(Id);
+        RC_ASSERT(Settled.Result != ClaimResult::Won || Digest.has_value());
         if (Settled.Result == ClaimResult::Won) {
-          RC_ASSERT(++Winners[*Line] == 1);
+          RC_ASSERT(++Winners[*Digest] == 1);
         }
       }
     }
--- a/Tests/Placement/FakeStore.h
+++ b/Tests/Placement/FakeStore.h
@@ -1,5 +1,5 @@
 /// \file
-/// A store in memory whose faults are chosen call by call.
+/// An in-memory store; the caller chooses the fault of each call.
 
 #ifndef BALSAMLATCH_TESTS_PLACEMENT_FAKESTORE_H
 #define BALSAMLATCH_TESTS_PLACEMENT_FAKESTORE_H
@@ -29,11 +29,11 @@
   }
 
   /// The digest of the key whose claim the request holds.
-  std::optional<std::string> holderOf(const std::string &Id) const {
+  std::optional<std::string> claimDigestOf(const std::string &Id) const {
     for (const auto &[Key, Entry] : Entries) {
       const auto Shard = placement::parseClaimShard(Entry.Value);
-      for (const auto &[Digest, Line] : Shard->Claims) {
-        if (Line.Holder.Text == Id) {
+      for (const auto &[Digest, Record] : Shard->Claims) {
+        if (Record.Holder.Text == Id) {
           return Digest;
         }
       }
