--- a/Source/Placement/Admission.cpp
+++ b/Source/Placement/Admission.cpp
@@ -17,14 +17,14 @@
          Size.Accelerators <= Capacity.Accelerators;
 }
 
-bool exceedsExpectedWait(const JobRule &Rule, const SizeModel &Sizes,
+bool exceedsExpectedWait(const JobRule &Rule, const JobStatistics &Statistics,
                          const PoolLoad &Load, Duration TimeLeft) {
   if (Rule.Class != JobClass::Prompt || Load.SlotShare <= 0 ||
-      !Sizes.hasEnoughRuns(Rule.Job)) {
+      !Statistics.hasEnoughRuns(Rule.Job)) {
     return false;
   }
   const double ExpectedWait = Load.UrgentRequests / Load.SlotShare *
-                              double(Sizes.runTime(Rule).count());
+                              double(Statistics.runTime(Rule).count());
   return ExpectedWait > WaitMargin * double(TimeLeft.count());
 }
 
@@ -37,19 +37,19 @@
 
 std::optional<Reason> refusalReason(const Request &CallerRequest,
                                     const JobRule &Rule, const PoolRule &Pool,
-                                    const SizeModel &Sizes,
+                                    const JobStatistics &Statistics,
                                     const PoolLoad &Load, Instant Now) {
   if (!fits(Rule.Size, Pool.WorkerSize)) {
     return Reason::NeverFits;
   }
   const Duration TimeLeft = CallerRequest.TimeLeft.value_or(Rule.Deadline);
-  if (TimeLeft <= Sizes.shortestRunTime(Rule, Now)) {
+  if (TimeLeft <= Statistics.shortestRunTime(Rule, Now)) {
     return Reason::DeadlineUnreachable;
   }
   if (Load.QueuedRequests >= Load.MaxQueuedRequests) {
     return Reason::QueueFull;
   }
-  if (exceedsExpectedWait(Rule, Sizes, Load, TimeLeft)) {
+  if (exceedsExpectedWait(Rule, Statistics, Load, TimeLeft)) {
     return Reason::DeadlineUnreachable;
   }
   return std::nullopt;
--- a/Source/Placement/AttemptMachine.cpp
+++ b/Source/Placement/AttemptMachine.cpp
@@ -43,10 +43,10 @@
   // clang-format off
   struct transition_table // NOLINT(readability-identifier-naming)
       : boost::mpl::vector<
-      Row<Running,    CancelEvent,    Cancelling, SendCancel,  none>,
-      Row<Running,    CallEndedEvent,     Ended,       ReleaseSlot, none>,
-      Row<Cancelling, CallEndedEvent,     Ended,       ReleaseSlot, none>,
-      Row<Cancelling, CancelConfirmedEvent, Ended,       ReleaseSlot, none>> {};
+      Row<Running,    CancelEvent,          Cancelling, SendCancel,  none>,
+      Row<Running,    CallEndedEvent,       Ended,      ReleaseSlot, none>,
+      Row<Cancelling, CallEndedEvent,       Ended,      ReleaseSlot, none>,
+      Row<Cancelling, CancelConfirmedEvent, Ended,      ReleaseSlot, none>> {};
   // clang-format on
 
   /// An event without a transition in the table is ignored.
--- a/Source/Placement/Engine.cpp
+++ b/Source/Placement/Engine.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The engine's face, and the events about rules, workers, entries and time.
+/// The public interface of the engine, and its handling of events about rules,
+/// workers, entries and time.
 
 #include "balsamlatch/Placement/Engine.h"
 
@@ -11,173 +12,188 @@
 
 namespace {
 
-constexpr Duration LongestGap = std::chrono::seconds(1);
-/// Within this time the events that waited bring the view up to date.
-constexpr Duration HoldAfterPause = std::chrono::seconds(1);
+constexpr Duration MaxEventGap = std::chrono::seconds(1);
+/// Within this time, the events that queued up during a pause update the list
+/// of workers.
+constexpr Duration PlacementPause = std::chrono::seconds(1);
 
 } // namespace
 
-Engine::Impl::Impl(EngineOptions Given)
-    : Options(std::move(Given)), Rng(Options.Seed) {
-  Live.push_back(Options.Self);
+Engine::Impl::Impl(EngineOptions InitialOptions)
+    : Options(std::move(InitialOptions)), Rng(Options.Seed) {
+  LiveEntries.push_back(Options.Self);
 }
 
-std::vector<Action> Engine::Impl::handle(const Event &Happened, Instant At) {
-  noticePause(At);
-  Now = At;
-  expire();
-  std::visit([this](const auto &E) { on(E); }, Happened);
-  pumpAll();
-  return std::exchange(Out, {});
+std::vector<Action> Engine::Impl::handle(const Event &NewEvent,
+                                         Instant EventTime) {
+  detectPause(EventTime);
+  Now = EventTime;
+  fireTimers();
+  std::visit([this](const auto &E) { handleEvent(E); }, NewEvent);
+  schedulePools();
+  return std::exchange(Actions, {});
 }
 
-/// Ticks come every TickPeriod, so a long gap is a pause of this process.
-void Engine::Impl::noticePause(Instant At) {
-  if (Now != Instant{} && At - Now > LongestGap) {
-    HoldUntil = At + HoldAfterPause;
-    log(Options.Self.Text, Reason::Paused, 0,
-        {{"paused_us", (At - Now).count()}});
+/// Ticks arrive every TickPeriod, so a long gap between events means that this
+/// process was paused.
+void Engine::Impl::detectPause(Instant EventTime) {
+  if (Now != Instant{} && EventTime - Now > MaxEventGap) {
+    PlacementPausedUntil = EventTime + PlacementPause;
+    logDecision(Options.Self.Text, Reason::Paused, 0,
+                {{"paused_us", (EventTime - Now).count()}});
   }
 }
 
-PoolState &Engine::Impl::pool(const PoolName &Name) {
+PoolState &Engine::Impl::poolState(const PoolName &Name) {
   return Pools.try_emplace(Name, Name).first->second;
 }
 
-void Engine::Impl::log(const std::string &Subject, Reason Why,
-                       unsigned RuleLine, boost::json::object Details) {
-  Out.push_back(LogDecision{Subject, Why, RuleLine, std::move(Details)});
+void Engine::Impl::logDecision(const std::string &Subject,
+                               Reason DecisionReason, unsigned RuleLine,
+                               boost::json::object Details) {
+  Actions.push_back(
+      LogDecision{Subject, DecisionReason, RuleLine, std::move(Details)});
 }
 
-void Engine::Impl::on(const RulesChanged &E) {
+void Engine::Impl::handleEvent(const RulesChanged &E) {
   Rules = E.Rules;
   for (const auto &[Name, Rule] : Rules->Pools) {
-    pool(Name);
-    Dirty.insert(Name);
+    poolState(Name);
+    PoolsToSchedule.insert(Name);
   }
-  SparePool = sparePoolOf(*Rules);
-  for (auto &[Name, P] : Pools) {
-    if (!SparePool.empty() && Name != SparePool && !P.Spare) {
-      P.Spare.emplace(SparePool, Name);
+  SparePool = findSparePool(*Rules);
+  for (auto &[Name, Pool] : Pools) {
+    if (!SparePool.empty() && Name != SparePool && !Pool.SpareSlots) {
+      Pool.SpareSlots.emplace(SparePool, Name);
     }
   }
-  applyQuotas();
-  applyWorkers();
+  updateQuotas();
+  updatePoolSizes();
   electSchedulers();
 }
 
-/// Each entry enforces its equal part of a quota.
-void Engine::Impl::applyQuotas() {
+/// Each entry enforces an equal part of a quota, rounded up.
+void Engine::Impl::updateQuotas() {
   if (Rules == nullptr) {
     return;
   }
-  const auto Entries = static_cast<std::uint32_t>(liveEntries());
+  const auto Entries = static_cast<std::uint32_t>(liveEntryCount());
   for (const QuotaRule &Quota : Rules->Quotas) {
-    pool(Quota.Pool)
+    poolState(Quota.Pool)
         .Queue.setQuota(Quota.Team, (Quota.Slots + Entries - 1) / Entries);
   }
 }
 
-void Engine::Impl::on(const WorkersChanged &E) {
-  std::set<HostName> Gone;
-  for (const auto &[Name, P] : Pools) {
+void Engine::Impl::handleEvent(const WorkersChanged &E) {
+  std::set<HostName> RemovedHosts;
+  for (const auto &[Name, Pool] : Pools) {
     for (const WorkerState *Worker : Workers.members(Name)) {
-      Gone.insert(Worker->View.Host);
+      RemovedHosts.insert(Worker->View.Host);
     }
   }
   Workers.replace(E.Workers, Now);
   for (const WorkerView &View : E.Workers) {
-    Gone.erase(View.Host);
-    pool(View.Pool);
+    RemovedHosts.erase(View.Host);
+    poolState(View.Pool);
   }
-  for (const HostName &Host : Gone) {
+  for (const HostName &Host : RemovedHosts) {
     Health.removeWorker(Host);
   }
-  applyWorkers();
+  updatePoolSizes();
   electSchedulers();
 }
 
-void Engine::Impl::applyWorkers() {
-  for (auto &[Name, P] : Pools) {
+void Engine::Impl::updatePoolSizes() {
+  for (auto &[Name, Pool] : Pools) {
     const auto Slots = static_cast<std::uint32_t>(Workers.slots(Name));
-    P.Queue.setSlots(
-        std::max(1U, Slots / static_cast<std::uint32_t>(liveEntries())));
+    Pool.Queue.setSlots(
+        std::max(1U, Slots / static_cast<std::uint32_t>(liveEntryCount())));
     Health.setPoolSize(Name, Workers.acceptingCount(Name));
-    Dirty.insert(Name);
+    PoolsToSchedule.insert(Name);
   }
 }
 
-void Engine::Impl::on(const WorkerReported &E) {
+void Engine::Impl::handleEvent(const WorkerReported &E) {
   for (const TaskUsage &Usage : E.Report.Running) {
-    Sizes.recordUsage(Usage);
+    Statistics.recordUsage(Usage);
   }
 }
 
-void Engine::Impl::on(const EntriesChanged &E) {
-  Live = E.Live;
-  applyQuotas();
-  applyWorkers();
+void Engine::Impl::handleEvent(const EntriesChanged &E) {
+  LiveEntries = E.Live;
+  updateQuotas();
+  updatePoolSizes();
   electSchedulers();
 }
 
-void Engine::Impl::on(const Tick & /*E*/) {
-  for (auto &[Name, P] : Pools) {
-    const bool Spilled = P.Spare && !P.Spare->isIdle();
-    if (!P.Queue.empty() || !P.Own.isIdle() || Spilled) {
-      Dirty.insert(Name);
+void Engine::Impl::handleEvent(const Tick & /*E*/) {
+  for (auto &[Name, Pool] : Pools) {
+    const bool HoldsSpareSlots = Pool.SpareSlots && !Pool.SpareSlots->isIdle();
+    if (!Pool.Queue.empty() || !Pool.OwnSlots.isIdle() || HoldsSpareSlots) {
+      PoolsToSchedule.insert(Name);
     }
   }
   for (auto &[Name, Scheduler] : Schedulers) {
-    deliver(Scheduler.tick(Now));
+    deliverGrants(Scheduler.tick(Now));
   }
 }
 
-void Engine::Impl::on(const StopRequested & /*E*/) { Stopping = true; }
+void Engine::Impl::handleEvent(const StopRequested & /*E*/) {
+  IsStopping = true;
+}
 
-void Engine::Impl::expire() {
+void Engine::Impl::fireTimers() {
   while (!Timers.empty() && Timers.begin()->first <= Now) {
-    const auto [At, Key] = *Timers.begin();
-    OpenRequest &R = Requests.at(Key);
-    if (R.Deadline <= Now) {
-      passDeadline(R);
+    const auto [Expiry, Key] = *Timers.begin();
+    OpenRequest &Req = Requests.at(Key);
+    if (Req.Deadline <= Now) {
+      expireRequest(Req);
       continue;
     }
-    clearTimer(R);
-    if (R.At == Phase::BackingOff) {
-      enqueue(R);
-    } else if (R.At == Phase::Running) {
-      hedge(R);
+    clearTimer(Req);
+    if (Req.Phase == RequestPhase::BackingOff) {
+      enqueue(Req);
+    } else if (Req.Phase == RequestPhase::Running) {
+      queueHedge(Req);
     }
   }
 }
 
-std::size_t Engine::Impl::liveEntries() const {
-  return std::max<std::size_t>(1, Live.size());
+std::size_t Engine::Impl::liveEntryCount() const {
+  return std::max<std::size_t>(1, LiveEntries.size());
 }
 
 Engine::Engine(EngineOptions Options)
-    : Self(std::make_unique<Impl>(std::move(Options))) {}
+    : Implementation(std::make_unique<Impl>(std::move(Options))) {}
 Engine::~Engine() = default;
 Engine::Engine(Engine &&) noexcept = default;
 Engine &Engine::operator=(Engine &&) noexcept = default;
 
-std::vector<Action> Engine::handle(const Event &Happened, Instant Now) {
-  return Self->handle(Happened, Now);
+std::vector<Action> Engine::handle(const Event &NewEvent, Instant Now) {
+  return Implementation->handle(NewEvent, Now);
 }
 
-const EngineCounters &Engine::counters() const { return Self->Counters; }
+const EngineCounters &Engine::counters() const {
+  return Implementation->Counters;
+}
 
 std::vector<PoolStanding> Engine::standings() const {
-  std::vector<PoolStanding> All;
-  for (const auto &[Name, P] : Self->Pools) {
-    All.push_back({Name, P.Queue.promptCount(), P.Queue.patientCount(),
-                   Self->Workers.slotsInUse(Name), Self->Workers.slots(Name),
-                   Self->Workers.ejectedCount(Name)});
+  std::vector<PoolStanding> Standings;
+  for (const auto &[Name, Pool] : Implementation->Pools) {
+    Standings.push_back({Name, Pool.Queue.promptCount(),
+                         Pool.Queue.patientCount(),
+                         Implementation->Workers.slotsInUse(Name),
+                         Implementation->Workers.slots(Name),
+                         Implementation->Workers.ejectedCount(Name)});
   }
-  return All;
+  return Standings;
 }
 
-std::size_t Engine::openRequests() const { return Self->Requests.size(); }
-std::size_t Engine::openAttempts() const { return Self->Attempts.size(); }
+std::size_t Engine::openRequests() const {
+  return Implementation->Requests.size();
+}
+std::size_t Engine::openAttempts() const {
+  return Implementation->Attempts.size();
+}
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/EngineAttempts.cpp
+++ b/Source/Placement/EngineAttempts.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Placing requests on workers, and what follows when an attempt ends.
+/// Places requests on workers, and handles the end of attempts.
 
 #include "EngineImpl.h"
 
@@ -9,300 +9,319 @@
 
 namespace {
 
-/// A run is long when it takes this many times the high quantile.
+/// A request is hedged when its run exceeds the 95th percentile by this factor.
 constexpr int HedgeFactor = 2;
-constexpr Duration ShortestHedgeWait = std::chrono::milliseconds(20);
-/// Declared run times may be ten times too short.
+constexpr Duration MinHedgeDelay = std::chrono::milliseconds(20);
+/// Leaves a margin for declared run times, which may be ten times too short.
 constexpr int LeaseFactor = 20;
-constexpr Duration ShortestLease = std::chrono::seconds(30);
-constexpr unsigned MostLeaseDoublings = 6;
-/// A decision is acted on within this time or not at all, since the worker
-/// may have begun to leave.
-constexpr Duration DispatchWithin = std::chrono::seconds(1);
-/// A worker's probe waits this long for an idempotent request.
-constexpr Duration ProbeWithAnyAfter = std::chrono::seconds(10);
+constexpr Duration MinLease = std::chrono::seconds(30);
+constexpr unsigned MaxLeaseDoublings = 6;
+/// An attempt that was not sent within this time is not sent at all, since the
+/// worker may have started to leave.
+constexpr Duration DispatchWindow = std::chrono::seconds(1);
+/// Time that a due probe of a worker waits for an idempotent request before it
+/// uses any request.
+constexpr Duration NonIdempotentProbeDelay = std::chrono::seconds(10);
 
-/// The task certainly did not run.
+/// Whether the task certainly did not run.
 bool provesNotRun(TaskEnd End) {
   return End == TaskEnd::Refused || End == TaskEnd::NotSent;
 }
 
 } // namespace
 
-void Engine::Impl::pumpAll() {
+void Engine::Impl::schedulePools() {
   do {
-    while (!Dirty.empty()) {
-      const PoolName Name = *Dirty.begin();
-      Dirty.erase(Dirty.begin());
-      pump(Name, pool(Name));
-      Touched.insert(Name);
+    while (!PoolsToSchedule.empty()) {
+      const PoolName Name = *PoolsToSchedule.begin();
+      PoolsToSchedule.erase(PoolsToSchedule.begin());
+      schedulePool(Name, poolState(Name));
+      PoolsWithSlotChanges.insert(Name);
     }
   } while (exchangeSlots());
 }
 
-void Engine::Impl::pump(const PoolName &Name, PoolState &P) {
-  bool Progress = Now >= HoldUntil;
-  while (Progress && !P.Queue.empty()) {
-    Progress =
-        pumpProbe(Name, P) || pumpGranted(Name, P) || pumpChosen(Name, P);
+void Engine::Impl::schedulePool(const PoolName &Name, PoolState &Pool) {
+  bool HasProgress = Now >= PlacementPausedUntil;
+  while (HasProgress && !Pool.Queue.empty()) {
+    HasProgress = placeProbe(Name, Pool) || placeGranted(Name, Pool) ||
+                  placeByOwnChoice(Name, Pool);
   }
 }
 
-/// Sends one request to an ejected worker whose probe is due.
-bool Engine::Impl::pumpProbe(const PoolName &Name, PoolState &P) {
+/// Sends one request to an ejected worker whose probe is due. Returns whether
+/// it handled a request.
+bool Engine::Impl::placeProbe(const PoolName &Name, PoolState &Pool) {
   const std::optional<HostName> Host = Health.findDueProbe(Name, Now);
   WorkerState *Worker = Host ? Workers.find(*Host) : nullptr;
   if (Worker == nullptr || !Worker->IsListed || !Worker->View.Accepting ||
       Worker->SlotsInUse >= Worker->View.Slots) {
     return false;
   }
-  const QueuedRequest *Next = P.Queue.next(Now);
-  OpenRequest &R = Requests.at(Next->Key);
-  if (!R.Rule.Idempotent &&
-      !Health.findDueProbe(Name, Now - ProbeWithAnyAfter)) {
+  const QueuedRequest *Candidate = Pool.Queue.next(Now);
+  OpenRequest &Req = Requests.at(Candidate->Key);
+  if (!Req.Rule.Idempotent &&
+      !Health.findDueProbe(Name, Now - NonIdempotentProbeDelay)) {
     return false;
   }
-  dispatch(R, *Worker);
+  dispatch(Req, *Worker);
   return true;
 }
 
-/// Uses one slot that a scheduler granted.
-bool Engine::Impl::pumpGranted(const PoolName &Name, PoolState &P) {
+/// Places one request on a slot that a scheduler granted.
+bool Engine::Impl::placeGranted(const PoolName &Name, PoolState &Pool) {
   if (Options.Choice != Policy::SlotGrants) {
     return false;
   }
-  const auto Try = [&](const QueuedRequest *Next, SlotHolder &Holder,
-                       const PoolName &Target, JobClass Class) {
-    if (Next == nullptr) {
+  const auto TryPlace = [&](const QueuedRequest *Candidate, SlotHolder &Holder,
+                            const PoolName &TargetPool, JobClass Class) {
+    if (Candidate == nullptr) {
       return false;
     }
-    OpenRequest &R = Requests.at(Next->Key);
-    const auto Suits = [&](const HostName &Host) {
+    OpenRequest &Req = Requests.at(Candidate->Key);
+    const auto IsSuitable = [&](const HostName &Host) {
       const WorkerState *Worker = Workers.find(Host);
       return Worker != nullptr && Worker->isUsable(Now) &&
-             Worker->View.Pool == Target &&
-             std::find(R.Tried.begin(), R.Tried.end(), Host) == R.Tried.end();
+             Worker->View.Pool == TargetPool &&
+             std::find(Req.TriedHosts.begin(), Req.TriedHosts.end(), Host) ==
+                 Req.TriedHosts.end();
     };
-    const std::optional<HostName> Host = Holder.takeGrant(Class, Now, Suits);
+    const std::optional<HostName> Host =
+        Holder.takeGrant(Class, Now, IsSuitable);
     if (Host) {
-      dispatch(R, *Workers.find(*Host));
+      dispatch(Req, *Workers.find(*Host));
     }
     return Host.has_value();
   };
-  const bool NoneUnaged = P.Queue.unagedCount() == 0;
-  return Try(P.Queue.nextUrgent(Now), P.Own, Name, JobClass::Prompt) ||
-         Try(P.Queue.nextPatient(Now), P.Own, Name, JobClass::Patient) ||
-         (NoneUnaged &&
-          Try(P.Queue.nextUrgent(Now), P.Own, Name, JobClass::Patient)) ||
-         (P.Spare && Name != SparePool &&
-          Try(P.Queue.nextSpill(), *P.Spare, SparePool, JobClass::Prompt));
+  const bool HasNoUnaged = Pool.Queue.unagedCount() == 0;
+  return TryPlace(Pool.Queue.nextUrgent(Now), Pool.OwnSlots, Name,
+                  JobClass::Prompt) ||
+         TryPlace(Pool.Queue.nextPatient(Now), Pool.OwnSlots, Name,
+                  JobClass::Patient) ||
+         (HasNoUnaged && TryPlace(Pool.Queue.nextUrgent(Now), Pool.OwnSlots,
+                                  Name, JobClass::Patient)) ||
+         (Pool.SpareSlots && Name != SparePool &&
+          TryPlace(Pool.Queue.nextSpill(), *Pool.SpareSlots, SparePool,
+                   JobClass::Prompt));
 }
 
-/// The request to place by this entry's own choice, or null.
-const QueuedRequest *Engine::Impl::nextChosen(const PoolName &Name,
-                                              PoolState &P) {
-  const QueuedRequest *Next = P.Queue.next(Now);
-  const std::uint32_t Part = Workers.slots(Name) * MaxPatientPercent /
-                             static_cast<std::uint32_t>(100 * liveEntries());
-  const bool Urgent = P.Queue.nextUrgent(Now) != nullptr;
-  if (!Urgent && P.PatientInUse >= std::max(1U, Part)) {
+/// The next request to place without a grant, or null. Limits patient work to
+/// this entry's share of the slots.
+const QueuedRequest *Engine::Impl::nextForOwnChoice(const PoolName &Name,
+                                                    PoolState &Pool) {
+  const QueuedRequest *Candidate = Pool.Queue.next(Now);
+  const std::uint32_t PatientShare =
+      Workers.slots(Name) * MaxPatientPercent /
+      static_cast<std::uint32_t>(100 * liveEntryCount());
+  const bool HasUrgent = Pool.Queue.nextUrgent(Now) != nullptr;
+  if (!HasUrgent && Pool.PatientSlotsInUse >= std::max(1U, PatientShare)) {
     return nullptr;
   }
-  return Next;
+  return Candidate;
 }
 
-/// Places one request by this entry's own view.
-bool Engine::Impl::pumpChosen(const PoolName &Name, PoolState &P) {
-  const bool Granting = Options.Choice == Policy::SlotGrants;
-  if (Granting && !P.Own.isUnanswered(Now)) {
+/// Places one request without a grant, on a worker that this entry chooses from
+/// its own view.
+bool Engine::Impl::placeByOwnChoice(const PoolName &Name, PoolState &Pool) {
+  const bool UsesGrants = Options.Choice == Policy::SlotGrants;
+  if (UsesGrants && !Pool.OwnSlots.isUnanswered(Now)) {
     return false;
   }
-  if (const QueuedRequest *Next = nextChosen(Name, P)) {
-    OpenRequest &R = Requests.at(Next->Key);
-    if (WorkerState *Worker = choose(Name, R)) {
-      dispatch(R, *Worker);
+  if (const QueuedRequest *Candidate = nextForOwnChoice(Name, Pool)) {
+    OpenRequest &Req = Requests.at(Candidate->Key);
+    if (WorkerState *Worker = chooseWorker(Name, Req)) {
+      dispatch(Req, *Worker);
       return true;
     }
   }
-  const QueuedRequest *Next = P.Queue.nextSpill();
-  if (Next == nullptr || SparePool.empty() || SparePool == Name ||
-      (Granting && !P.Spare->isUnanswered(Now))) {
+  const QueuedRequest *Candidate = Pool.Queue.nextSpill();
+  if (Candidate == nullptr || SparePool.empty() || SparePool == Name ||
+      (UsesGrants && !Pool.SpareSlots->isUnanswered(Now))) {
     return false;
   }
-  OpenRequest &R = Requests.at(Next->Key);
-  WorkerState *Worker = choose(SparePool, R);
+  OpenRequest &Req = Requests.at(Candidate->Key);
+  WorkerState *Worker = chooseWorker(SparePool, Req);
   if (Worker != nullptr) {
-    dispatch(R, *Worker);
+    dispatch(Req, *Worker);
   }
   return Worker != nullptr;
 }
 
-WorkerState *Engine::Impl::choose(const PoolName &Name, const OpenRequest &R) {
+WorkerState *Engine::Impl::chooseWorker(const PoolName &Name,
+                                        const OpenRequest &Req) {
   if (Options.Choice == Policy::RoundRobin) {
-    return Workers.chooseRoundRobin(Name, R.Tried, Now);
+    return Workers.chooseRoundRobin(Name, Req.TriedHosts, Now);
   }
-  return Workers.chooseOfTwoRandom(Name, R.Tried, Rng, Now);
+  return Workers.chooseOfTwoRandom(Name, Req.TriedHosts, Rng, Now);
 }
 
-/// Why the request must not be sent now; empty: it may.
-std::optional<Reason> Engine::Impl::obstacle(const OpenRequest &R) {
-  if (R.DispatchDeadline <= Now) {
+/// The reason why the request must not be sent now; empty if it may.
+std::optional<Reason>
+Engine::Impl::findDispatchObstacle(const OpenRequest &Req) {
+  if (Req.DispatchDeadline <= Now) {
     return Reason::ClaimUnavailable;
   }
-  if (R.Deadline - Now < Sizes.shortestRunTime(R.Rule, Now)) {
+  if (Req.Deadline - Now < Statistics.shortestRunTime(Req.Rule, Now)) {
     return Reason::DeadlineUnreachable;
   }
-  if (Health.isEjected(R.Rule.Job) && !R.JobProbe) {
+  if (Health.isEjected(Req.Rule.Job) && !Req.IsJobProbe) {
     return Reason::JobEjected;
   }
   return std::nullopt;
 }
 
-void Engine::Impl::dispatch(OpenRequest &R, WorkerState &Worker) {
-  const std::optional<Reason> Why = obstacle(R);
-  if (!Why) {
-    start(R, Worker);
+void Engine::Impl::dispatch(OpenRequest &Req, WorkerState &Worker) {
+  const std::optional<Reason> Obstacle = findDispatchObstacle(Req);
+  if (!Obstacle) {
+    startAttempt(Req, Worker);
     return;
   }
-  if (R.Hedging) {
-    pool(R.Rule.Pool).Queue.remove(R.Key);
+  if (Req.IsHedgeQueued) {
+    poolState(Req.Rule.Pool).Queue.remove(Req.Key);
     return;
   }
-  finish(R.Key, R.MayHaveRun ? Outcome::Unknown : Outcome::NotRun, *Why);
+  finishRequest(Req.Key, Req.MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
+                *Obstacle);
 }
 
-void Engine::Impl::start(OpenRequest &R, WorkerState &Worker) {
-  PoolState &P = pool(R.Rule.Pool);
-  const bool Unaged = P.Queue.isUnaged(R.Key);
-  const JobClass Class = Unaged ? JobClass::Patient : JobClass::Prompt;
-  P.Queue.remove(R.Key);
-  P.Queue.acquireSlot(R.Asked.Team, Class);
-  P.PatientInUse += Unaged ? 1 : 0;
+void Engine::Impl::startAttempt(OpenRequest &Req, WorkerState &Worker) {
+  PoolState &Pool = poolState(Req.Rule.Pool);
+  const bool IsUnaged = Pool.Queue.isUnaged(Req.Key);
+  const JobClass Class = IsUnaged ? JobClass::Patient : JobClass::Prompt;
+  Pool.Queue.remove(Req.Key);
+  Pool.Queue.acquireSlot(Req.CallerRequest.Team, Class);
+  Pool.PatientSlotsInUse += IsUnaged ? 1 : 0;
   const WorkerView &View = Worker.View;
-  const bool OnSpare = View.Pool != R.Rule.Pool;
-  (OnSpare ? *P.Spare : P.Own).acquireSlot(View.Host, Class);
+  const bool OnSpare = View.Pool != Req.Rule.Pool;
+  (OnSpare ? *Pool.SpareSlots : Pool.OwnSlots).acquireSlot(View.Host, Class);
   Workers.acquire(Worker, Now);
   const AttemptId Attempt(++LastAttempt);
-  Attempts.emplace(Attempt, OpenAttempt{R.Key, View.Host, View.At, R.Rule.Pool,
-                                        View.Pool, R.Asked.Team, R.Rule.Job,
-                                        Class, Now, AttemptMachine()});
+  Attempts.emplace(Attempt,
+                   OpenAttempt{Req.Key, View.Host, View.At, Req.Rule.Pool,
+                               View.Pool, Req.CallerRequest.Team, Req.Rule.Job,
+                               Class, Now, AttemptMachine()});
   if (Worker.IsEjected) {
     Health.startProbe(View.Host);
   }
-  R.At = Phase::Running;
-  ++R.Tries;
-  R.Running.push_back(Attempt);
-  R.Tried.push_back(View.Host);
+  Req.Phase = RequestPhase::Running;
+  ++Req.AttemptCount;
+  Req.RunningAttempts.push_back(Attempt);
+  Req.TriedHosts.push_back(View.Host);
   ++Counters.Attempts;
-  Counters.Hedges += R.Hedging ? 1 : 0;
+  Counters.Hedges += Req.IsHedgeQueued ? 1 : 0;
   Counters.Spilled += OnSpare ? 1 : 0;
-  if (R.Tries == 1) {
-    P.Budget.recordFirstAttempt();
-  }
-  if (R.Tries == 1 && R.Rule.Idempotent && R.Rule.Class == JobClass::Prompt &&
-      Sizes.hasEnoughRuns(R.Rule.Job)) {
-    setTimer(R, Now + std::max(ShortestHedgeWait,
-                               HedgeFactor * Sizes.runTime(R.Rule)));
-  }
-  Out.push_back(StartAttempt{
-      Attempt, R.Asked.Id, R.Asked.Job, View.Host, View.At, leaseFor(R),
-      std::min({R.Deadline, R.DispatchDeadline, Now + DispatchWithin})});
-  const Reason Why = R.Hedging     ? Reason::Hedged
-                     : R.Tries > 1 ? Reason::Retried
-                     : OnSpare     ? Reason::PlacedOnSpare
-                                   : Reason::Placed;
-  log(R.Asked.Id.Text, Why, R.Rule.Origin.Line,
-      {{"host", View.Host.Text},
-       {"pool", View.Pool.Text},
-       {"in_use", Worker.SlotsInUse},
-       {"queued", P.Queue.size()},
-       {"try", R.Tries}});
-  R.Hedging = false;
+  if (Req.AttemptCount == 1) {
+    Pool.Budget.recordFirstAttempt();
+  }
+  if (Req.AttemptCount == 1 && Req.Rule.Idempotent &&
+      Req.Rule.Class == JobClass::Prompt &&
+      Statistics.hasEnoughRuns(Req.Rule.Job)) {
+    setTimer(Req, Now + std::max(MinHedgeDelay,
+                                 HedgeFactor * Statistics.runTime(Req.Rule)));
+  }
+  Actions.push_back(StartAttempt{
+      Attempt, Req.CallerRequest.Id, Req.CallerRequest.Job, View.Host, View.At,
+      leaseDuration(Req),
+      std::min({Req.Deadline, Req.DispatchDeadline, Now + DispatchWindow})});
+  const Reason PlacementReason = Req.IsHedgeQueued      ? Reason::Hedged
+                                 : Req.AttemptCount > 1 ? Reason::Retried
+                                 : OnSpare              ? Reason::PlacedOnSpare
+                                                        : Reason::Placed;
+  logDecision(Req.CallerRequest.Id.Text, PlacementReason, Req.Rule.Origin.Line,
+              {{"host", View.Host.Text},
+               {"pool", View.Pool.Text},
+               {"in_use", Worker.SlotsInUse},
+               {"queued", Pool.Queue.size()},
+               {"try", Req.AttemptCount}});
+  Req.IsHedgeQueued = false;
 }
 
-/// An idempotent task that doesn't end is lost with its lease and tried
-/// elsewhere; others may run until their deadline.
-Duration Engine::Impl::leaseFor(const OpenRequest &R) const {
-  const Duration Left = R.Deadline - Now;
-  if (!R.Rule.Idempotent) {
-    return Left;
-  }
-  const Duration Usual =
-      std::max(ShortestLease, LeaseFactor * Sizes.runTime(R.Rule));
-  const unsigned Doublings = std::min(R.Tries - 1, MostLeaseDoublings);
-  return std::min(Left, Usual * (1 << Doublings));
+/// An idempotent task that exceeds its lease counts as lost and is retried
+/// elsewhere; other tasks may run until their deadline.
+Duration Engine::Impl::leaseDuration(const OpenRequest &Req) const {
+  const Duration TimeLeft = Req.Deadline - Now;
+  if (!Req.Rule.Idempotent) {
+    return TimeLeft;
+  }
+  const Duration BaseLease =
+      std::max(MinLease, LeaseFactor * Statistics.runTime(Req.Rule));
+  const unsigned Doublings = std::min(Req.AttemptCount - 1, MaxLeaseDoublings);
+  return std::min(TimeLeft, BaseLease * (1 << Doublings));
 }
 
-/// Queues a second attempt of an idempotent request whose first takes long.
-void Engine::Impl::hedge(OpenRequest &R) {
-  PoolState &P = pool(R.Rule.Pool);
-  if (R.Tries != 1 || R.Hedging || !P.Budget.trySpend()) {
+/// Queues a second attempt of an idempotent request whose first one takes long.
+void Engine::Impl::queueHedge(OpenRequest &Req) {
+  PoolState &Pool = poolState(Req.Rule.Pool);
+  if (Req.AttemptCount != 1 || Req.IsHedgeQueued || !Pool.Budget.trySpend()) {
     return;
   }
-  R.Hedging = true;
-  enqueue(R);
+  Req.IsHedgeQueued = true;
+  enqueue(Req);
 }
 
 OpenAttempt Engine::Impl::closeAttempt(AttemptId Attempt) {
-  const auto Found = Attempts.find(Attempt);
-  OpenAttempt Gone = std::move(Found->second);
-  Attempts.erase(Found);
-  PoolState &P = pool(Gone.QueuePool);
-  P.Queue.releaseSlot(Gone.Team);
-  P.PatientInUse -= Gone.SlotClass == JobClass::Patient ? 1 : 0;
-  const bool OnSpare = Gone.WorkerPool != Gone.QueuePool;
-  (OnSpare ? *P.Spare : P.Own).releaseSlot(Gone.Host, Gone.SlotClass);
-  Dirty.insert(Gone.QueuePool);
-  Dirty.insert(Gone.WorkerPool);
-  if (WorkerState *Worker = Workers.find(Gone.Host)) {
+  const auto It = Attempts.find(Attempt);
+  OpenAttempt EndedAttempt = std::move(It->second);
+  Attempts.erase(It);
+  PoolState &Pool = poolState(EndedAttempt.QueuePool);
+  Pool.Queue.releaseSlot(EndedAttempt.Team);
+  Pool.PatientSlotsInUse -= EndedAttempt.SlotClass == JobClass::Patient ? 1 : 0;
+  const bool OnSpare = EndedAttempt.WorkerPool != EndedAttempt.QueuePool;
+  (OnSpare ? *Pool.SpareSlots : Pool.OwnSlots)
+      .releaseSlot(EndedAttempt.Host, EndedAttempt.SlotClass);
+  PoolsToSchedule.insert(EndedAttempt.QueuePool);
+  PoolsToSchedule.insert(EndedAttempt.WorkerPool);
+  if (WorkerState *Worker = Workers.find(EndedAttempt.Host)) {
     Workers.release(*Worker, Now);
   }
-  return Gone;
+  return EndedAttempt;
 }
 
-void Engine::Impl::on(const CancelConfirmed &E) {
-  const auto Found = Attempts.find(E.Attempt);
-  if (Found == Attempts.end() ||
-      Found->second.State.confirmCancel() != AttemptAction::ReleaseSlot) {
+void Engine::Impl::handleEvent(const CancelConfirmed &E) {
+  const auto It = Attempts.find(E.Attempt);
+  if (It == Attempts.end() ||
+      It->second.State.confirmCancel() != AttemptAction::ReleaseSlot) {
     return;
   }
-  const OpenAttempt Gone = closeAttempt(E.Attempt);
-  Health.clearProbe(Gone.Host, Gone.Job);
+  const OpenAttempt EndedAttempt = closeAttempt(E.Attempt);
+  Health.clearProbe(EndedAttempt.Host, EndedAttempt.Job);
 }
 
-void Engine::Impl::on(const AttemptEnded &E) {
-  const auto Found = Attempts.find(E.Attempt);
-  const bool Wanted =
-      Found != Attempts.end() && Found->second.State.isRunning();
-  const bool Answered = E.End == TaskEnd::Answered;
-  if (!Wanted && Answered) {
+void Engine::Impl::handleEvent(const AttemptEnded &E) {
+  const auto It = Attempts.find(E.Attempt);
+  const bool IsWanted = It != Attempts.end() && It->second.State.isRunning();
+  const bool IsAnswered = E.End == TaskEnd::Answered;
+  if (!IsWanted && IsAnswered) {
     ++Counters.LateAnswers;
-    log(std::to_string(E.Attempt.Value), Reason::LateAnswerDropped, 0, {});
+    logDecision(std::to_string(E.Attempt.Value), Reason::LateAnswerDropped, 0,
+                {});
   }
-  if (Found == Attempts.end()) {
+  if (It == Attempts.end()) {
     return;
   }
-  Found->second.State.endCall();
-  const OpenAttempt Gone = closeAttempt(E.Attempt);
-  if (!Wanted && !Answered) {
-    Health.clearProbe(Gone.Host, Gone.Job);
+  It->second.State.endCall();
+  const OpenAttempt EndedAttempt = closeAttempt(E.Attempt);
+  if (!IsWanted && !IsAnswered) {
+    Health.clearProbe(EndedAttempt.Host, EndedAttempt.Job);
     return;
   }
-  judge(Gone, E.End);
-  if (!Wanted) {
+  recordHealth(EndedAttempt, E.End);
+  if (!IsWanted) {
     return;
   }
-  OpenRequest &R = Requests.at(Gone.Key);
-  std::erase(R.Running, E.Attempt);
-  settle(R, E.Attempt, E.End);
+  OpenRequest &Req = Requests.at(EndedAttempt.Key);
+  std::erase(Req.RunningAttempts, E.Attempt);
+  settleAttempt(Req, E.Attempt, E.End);
 }
 
-/// Draws what the end says about the worker and the job.
-void Engine::Impl::judge(const OpenAttempt &Gone, TaskEnd End) {
-  WorkerState *Worker = Workers.find(Gone.Host);
+/// Records what the end of the attempt shows about the health of the worker and
+/// of the job.
+void Engine::Impl::recordHealth(const OpenAttempt &EndedAttempt, TaskEnd End) {
+  WorkerState *Worker = Workers.find(EndedAttempt.Host);
   if (End == TaskEnd::Answered) {
-    Sizes.recordRun(Gone.Job, Now - Gone.Started, Now);
-    apply(Health.recordSuccess(Gone.Host, Gone.Job, Now));
+    Statistics.recordRun(EndedAttempt.Job, Now - EndedAttempt.StartTime, Now);
+    applyHealthChange(
+        Health.recordSuccess(EndedAttempt.Host, EndedAttempt.Job, Now));
     if (Worker != nullptr) {
       Workers.recordAcceptance(*Worker);
     }
@@ -312,79 +331,87 @@
     Workers.recordRefusal(*Worker, Now);
   }
   if (End == TaskEnd::Refused) {
-    Health.clearProbe(Gone.Host, Gone.Job);
+    Health.clearProbe(EndedAttempt.Host, EndedAttempt.Job);
     return;
   }
-  apply(Health.recordFailure(Gone.Host, Gone.WorkerPool, Gone.Job,
-                             !provesNotRun(End), Now));
+  applyHealthChange(
+      Health.recordFailure(EndedAttempt.Host, EndedAttempt.WorkerPool,
+                           EndedAttempt.Job, !provesNotRun(End), Now));
 }
 
-void Engine::Impl::apply(const std::optional<HealthChange> &Change) {
+void Engine::Impl::applyHealthChange(
+    const std::optional<HealthChange> &Change) {
   if (!Change) {
     return;
   }
   using Kind = HealthChange::Kind;
-  const bool Ejected = Change->ChangeKind == Kind::WorkerEjected;
+  const bool IsEjection = Change->ChangeKind == Kind::WorkerEjected;
   if (Change->ChangeKind == Kind::JobEjected ||
       Change->ChangeKind == Kind::JobReadmitted) {
-    log(Change->Job.Text,
-        Change->ChangeKind == Kind::JobEjected ? Reason::JobEjected
-                                               : Reason::JobReadmitted,
-        0, {});
+    logDecision(Change->Job.Text,
+                Change->ChangeKind == Kind::JobEjected ? Reason::JobEjected
+                                                       : Reason::JobReadmitted,
+                0, {});
     return;
   }
   if (WorkerState *Worker = Workers.find(Change->Host)) {
-    Workers.setEjected(*Worker, Ejected, Now);
-    Dirty.insert(Worker->View.Pool);
+    Workers.setEjected(*Worker, IsEjection, Now);
+    PoolsToSchedule.insert(Worker->View.Pool);
   }
-  log(Change->Host.Text,
-      Ejected ? Reason::WorkerEjected : Reason::WorkerReadmitted, 0, {});
+  logDecision(Change->Host.Text,
+              IsEjection ? Reason::WorkerEjected : Reason::WorkerReadmitted, 0,
+              {});
 }
 
-void Engine::Impl::settle(OpenRequest &R, AttemptId Attempt, TaskEnd End) {
+void Engine::Impl::settleAttempt(OpenRequest &Req, AttemptId Attempt,
+                                 TaskEnd End) {
   if (End == TaskEnd::Answered) {
-    cancelRunning(R, Attempt);
-    finish(R.Key, Outcome::Answered, Reason::AnswerWhole, Attempt);
+    cancelAttempts(Req, Attempt);
+    finishRequest(Req.Key, Outcome::Answered, Reason::AnswerWhole, Attempt);
     return;
   }
-  R.MayHaveRun = R.MayHaveRun || !provesNotRun(End);
-  if (!provesNotRun(End) && !R.Rule.Idempotent) {
-    finish(R.Key, Outcome::Unknown,
-           End == TaskEnd::Failed ? Reason::TaskFailed : Reason::AttemptLost);
+  Req.MayHaveRun = Req.MayHaveRun || !provesNotRun(End);
+  if (!provesNotRun(End) && !Req.Rule.Idempotent) {
+    finishRequest(Req.Key, Outcome::Unknown,
+                  End == TaskEnd::Failed ? Reason::TaskFailed
+                                         : Reason::AttemptLost);
     return;
   }
-  if (R.Running.empty()) {
-    retry(R, End);
+  if (Req.RunningAttempts.empty()) {
+    retryRequest(Req, End);
   }
 }
 
-void Engine::Impl::retry(OpenRequest &R, TaskEnd End) {
-  PoolState &P = pool(R.Rule.Pool);
-  P.Queue.remove(R.Key);
-  R.Hedging = false;
-  if (!provesNotRun(End) && !P.Budget.trySpend()) {
-    finish(R.Key, Outcome::Unknown, Reason::RetryBudgetSpent);
+void Engine::Impl::retryRequest(OpenRequest &Req, TaskEnd End) {
+  PoolState &Pool = poolState(Req.Rule.Pool);
+  Pool.Queue.remove(Req.Key);
+  Req.IsHedgeQueued = false;
+  if (!provesNotRun(End) && !Pool.Budget.trySpend()) {
+    finishRequest(Req.Key, Outcome::Unknown, Reason::RetryBudgetSpent);
     return;
   }
   ++Counters.Retries;
-  // Once every worker was tried, all may be tried again.
-  if (R.Tried.size() >= Workers.acceptingCount(R.Rule.Pool)) {
-    R.Tried.clear();
+  // Once every worker was tried, all of them may be tried again.
+  if (Req.TriedHosts.size() >= Workers.acceptingCount(Req.Rule.Pool)) {
+    Req.TriedHosts.clear();
   }
-  const Duration Wait = backOffDelay(R.Tries, Rng);
-  if (Wait == Duration::zero()) {
-    enqueue(R);
+  const Duration Delay = backOffDelay(Req.AttemptCount, Rng);
+  if (Delay == Duration::zero()) {
+    enqueue(Req);
     return;
   }
-  R.At = Phase::BackingOff;
-  setTimer(R, Now + Wait);
+  Req.Phase = RequestPhase::BackingOff;
+  setTimer(Req, Now + Delay);
 }
 
-void Engine::Impl::cancelRunning(const OpenRequest &R, AttemptId Except) {
-  for (const AttemptId Attempt : R.Running) {
-    OpenAttempt &Open = Attempts.at(Attempt);
-    if (Attempt != Except && Open.State.cancel() == AttemptAction::SendCancel) {
-      Out.push_back(CancelAttempt{Attempt, Open.Host, Open.At});
+void Engine::Impl::cancelAttempts(const OpenRequest &Req,
+                                  AttemptId KeptAttempt) {
+  for (const AttemptId Attempt : Req.RunningAttempts) {
+    OpenAttempt &RunningAttempt = Attempts.at(Attempt);
+    if (Attempt != KeptAttempt &&
+        RunningAttempt.State.cancel() == AttemptAction::SendCancel) {
+      Actions.push_back(CancelAttempt{Attempt, RunningAttempt.Host,
+                                      RunningAttempt.HostAddress});
     }
   }
 }
--- a/Source/Placement/EngineImpl.h
+++ b/Source/Placement/EngineImpl.h
@@ -1,7 +1,8 @@
 /// \file
-/// The engine's state and steps. Engine.cpp takes the events about the fleet,
-/// EngineRequests.cpp those about requests, EngineAttempts.cpp places work on
-/// workers, EngineSlots.cpp exchanges slots with other entries.
+/// The state and the steps of the engine. Engine.cpp handles the events about
+/// rules, workers, entries and time, EngineRequests.cpp those about requests;
+/// EngineAttempts.cpp places requests on workers; EngineSlots.cpp exchanges
+/// slot messages with other entries.
 
 #ifndef BALSAMLATCH_PLACEMENT_ENGINEIMPL_H
 #define BALSAMLATCH_PLACEMENT_ENGINEIMPL_H
@@ -9,9 +10,9 @@
 #include "balsamlatch/Placement/Admission.h"
 #include "balsamlatch/Placement/AttemptMachine.h"
 #include "balsamlatch/Placement/Engine.h"
+#include "balsamlatch/Placement/JobStatistics.h"
 #include "balsamlatch/Placement/PoolQueue.h"
 #include "balsamlatch/Placement/RetryBudget.h"
-#include "balsamlatch/Placement/SizeModel.h"
 #include "balsamlatch/Placement/SlotHolder.h"
 #include "balsamlatch/Placement/SlotScheduler.h"
 #include "balsamlatch/Placement/WorkerHealth.h"
@@ -27,73 +28,75 @@
 
 namespace balsamlatch::placement {
 
-/// Part of a pool's slots that patient work may hold, in percent.
+/// Largest part of a pool's slots that patient work may hold, in percent.
 inline constexpr std::uint32_t MaxPatientPercent = 75;
-/// The least such part, in a pool whose prompt bursts can't all spill, and in
-/// one where they can.
+/// Part of the slots that patient work may hold at least, in percent: in a pool
+/// some of whose prompt jobs may not spill, and in a pool where all of them
+/// may.
 inline constexpr std::uint32_t MinPatientPercent = 25;
 inline constexpr std::uint32_t MinPatientPercentWithSpill = 50;
 
-enum class Phase { Claiming, Waiting, BackingOff, Running };
+enum class RequestPhase { Claiming, Queued, BackingOff, Running };
 
 /// A request that has not ended.
 struct OpenRequest {
   RequestKey Key;
-  Request Asked;
+  Request CallerRequest;
   JobRule Rule;
-  Phase At = Phase::Waiting;
+  RequestPhase Phase = RequestPhase::Queued;
   Instant Deadline{};
-  /// A claim's limit; no attempt starts later.
+  /// Dispatch deadline of the claim; no attempt starts at or after it.
   Instant DispatchDeadline = Instant::max();
-  /// End of a back-off, or the time to hedge; the timer that is set.
-  std::optional<Instant> Timer;
-  unsigned Tries = 0;
-  /// An attempt ended without proof that it didn't run.
+  /// The timer that is set, if any: the end of a back-off, or the time to
+  /// hedge.
+  std::optional<Instant> TimerExpiry;
+  unsigned AttemptCount = 0;
+  /// An attempt ended without proof that the task didn't run.
   bool MayHaveRun = false;
-  /// Waits for a second attempt while the first runs.
-  bool Hedging = false;
-  /// Lets the engine see whether an ejected job works again.
-  bool JobProbe = false;
-  std::vector<AttemptId> Running;
-  std::vector<HostName> Tried;
-  /// Under which a claim was asked; empty: none.
+  /// A second attempt is queued while the first one runs.
+  bool IsHedgeQueued = false;
+  /// Admitted as a probe of an ejected job.
+  bool IsJobProbe = false;
+  std::vector<AttemptId> RunningAttempts;
+  std::vector<HostName> TriedHosts;
+  /// Identifier that the claim was requested under; empty if there is none.
   RequestId ClaimId;
-  /// Repeats with the same idempotency key through this entry.
-  std::vector<RequestId> Repeats;
+  /// Repeats with the same idempotency key that arrived at this entry.
+  std::vector<RequestId> RepeatIds;
 };
 
 /// An attempt that holds a slot.
 struct OpenAttempt {
   RequestKey Key;
   HostName Host;
-  Address At;
+  Address HostAddress;
   PoolName QueuePool;
   PoolName WorkerPool;
   TeamName Team;
   JobName Job;
   JobClass SlotClass = JobClass::Prompt;
-  Instant Started{};
+  Instant StartTime{};
   AttemptMachine State;
 };
 
-/// What the engine keeps for one pool's requests.
+/// State for the requests of one pool.
 struct PoolState {
-  explicit PoolState(const PoolName &Pool) : Own(Pool, Pool) {}
+  explicit PoolState(const PoolName &Pool) : OwnSlots(Pool, Pool) {}
 
   PoolQueue Queue;
-  SlotHolder Own;
-  // Slots of the spare pool, for this pool's requests.
-  std::optional<SlotHolder> Spare;
+  SlotHolder OwnSlots;
+  // Slots of the spare pool that are held for this pool's requests.
+  std::optional<SlotHolder> SpareSlots;
   RetryBudget Budget;
   // Slots that patient requests of this entry hold.
-  std::uint32_t PatientInUse = 0;
+  std::uint32_t PatientSlotsInUse = 0;
 };
 
 class Engine::Impl {
 public:
-  explicit Impl(EngineOptions Given);
+  explicit Impl(EngineOptions InitialOptions);
 
-  std::vector<Action> handle(const Event &Happened, Instant At);
+  std::vector<Action> handle(const Event &NewEvent, Instant EventTime);
 
   EngineOptions Options;
   EngineCounters Counters;
@@ -105,99 +108,101 @@
 
 private:
   // Engine.cpp
-  void on(const RulesChanged &E);
-  void on(const WorkersChanged &E);
-  void on(const WorkerReported &E);
-  void on(const EntriesChanged &E);
-  void on(const Tick &E);
-  void on(const StopRequested &E);
-  void noticePause(Instant At);
-  void expire();
-  PoolState &pool(const PoolName &Name);
-  void applyQuotas();
-  void applyWorkers();
-  void log(const std::string &Subject, Reason Why, unsigned RuleLine,
-           boost::json::object Details);
+  void handleEvent(const RulesChanged &E);
+  void handleEvent(const WorkersChanged &E);
+  void handleEvent(const WorkerReported &E);
+  void handleEvent(const EntriesChanged &E);
+  void handleEvent(const Tick &E);
+  void handleEvent(const StopRequested &E);
+  void detectPause(Instant EventTime);
+  void fireTimers();
+  PoolState &poolState(const PoolName &Name);
+  void updateQuotas();
+  void updatePoolSizes();
+  void logDecision(const std::string &Subject, Reason DecisionReason,
+                   unsigned RuleLine, boost::json::object Details);
 
   // EngineRequests.cpp
-  void on(const RequestArrived &E);
-  void on(const RequestCancelled &E);
-  void on(const ClaimSettled &E);
-  bool refuse(const Request &Asked, const JobRule *Rule);
-  bool joinFirst(const Request &Asked);
-  void enqueue(OpenRequest &R);
-  void passDeadline(OpenRequest &R);
-  void finish(RequestKey Key, Outcome End, Reason Why, AttemptId Attempt = {},
-              std::optional<Outcome> First = std::nullopt);
-  void finishNow(const RequestId &Id, Outcome End, Reason Why,
-                 AttemptId Attempt = {},
-                 std::optional<Outcome> First = std::nullopt);
-  void setTimer(OpenRequest &R, Instant At);
-  void clearTimer(OpenRequest &R);
-  OpenRequest *find(const RequestId &Id);
-  static std::string keyOf(const Request &Asked);
+  void handleEvent(const RequestArrived &E);
+  void handleEvent(const RequestCancelled &E);
+  void handleEvent(const ClaimSettled &E);
+  bool refuseIfInadmissible(const Request &CallerRequest, const JobRule *Rule);
+  bool joinOpenRequest(const Request &CallerRequest);
+  void enqueue(OpenRequest &Req);
+  void expireRequest(OpenRequest &Req);
+  void finishRequest(RequestKey Key, Outcome FinalOutcome, Reason EndReason,
+                     AttemptId Attempt = {},
+                     std::optional<Outcome> PriorOutcome = std::nullopt);
+  void emitFinish(const RequestId &Id, Outcome FinalOutcome, Reason EndReason,
+                  AttemptId Attempt = {},
+                  std::optional<Outcome> PriorOutcome = std::nullopt);
+  void setTimer(OpenRequest &Req, Instant Expiry);
+  void clearTimer(OpenRequest &Req);
+  OpenRequest *findRequest(const RequestId &Id);
+  static std::string scopedIdempotencyKey(const Request &CallerRequest);
 
   // EngineAttempts.cpp
-  void on(const AttemptEnded &E);
-  void on(const CancelConfirmed &E);
-  void pumpAll();
-  void pump(const PoolName &Name, PoolState &P);
-  bool pumpGranted(const PoolName &Name, PoolState &P);
-  bool pumpChosen(const PoolName &Name, PoolState &P);
-  bool pumpProbe(const PoolName &Name, PoolState &P);
-  const QueuedRequest *nextChosen(const PoolName &Name, PoolState &P);
-  WorkerState *choose(const PoolName &Name, const OpenRequest &R);
-  void dispatch(OpenRequest &R, WorkerState &Worker);
-  void start(OpenRequest &R, WorkerState &Worker);
-  std::optional<Reason> obstacle(const OpenRequest &R);
-  Duration leaseFor(const OpenRequest &R) const;
-  void hedge(OpenRequest &R);
-  void settle(OpenRequest &R, AttemptId Attempt, TaskEnd End);
-  void retry(OpenRequest &R, TaskEnd End);
+  void handleEvent(const AttemptEnded &E);
+  void handleEvent(const CancelConfirmed &E);
+  void schedulePools();
+  void schedulePool(const PoolName &Name, PoolState &Pool);
+  bool placeGranted(const PoolName &Name, PoolState &Pool);
+  bool placeByOwnChoice(const PoolName &Name, PoolState &Pool);
+  bool placeProbe(const PoolName &Name, PoolState &Pool);
+  const QueuedRequest *nextForOwnChoice(const PoolName &Name, PoolState &Pool);
+  WorkerState *chooseWorker(const PoolName &Name, const OpenRequest &Req);
+  void dispatch(OpenRequest &Req, WorkerState &Worker);
+  void startAttempt(OpenRequest &Req, WorkerState &Worker);
+  std::optional<Reason> findDispatchObstacle(const OpenRequest &Req);
+  Duration leaseDuration(const OpenRequest &Req) const;
+  void queueHedge(OpenRequest &Req);
+  void settleAttempt(OpenRequest &Req, AttemptId Attempt, TaskEnd End);
+  void retryRequest(OpenRequest &Req, TaskEnd End);
   OpenAttempt closeAttempt(AttemptId Attempt);
-  void judge(const OpenAttempt &Gone, TaskEnd End);
-  void apply(const std::optional<HealthChange> &Change);
-  void cancelRunning(const OpenRequest &R, AttemptId Except = {});
+  void recordHealth(const OpenAttempt &EndedAttempt, TaskEnd End);
+  void applyHealthChange(const std::optional<HealthChange> &Change);
+  void cancelAttempts(const OpenRequest &Req, AttemptId KeptAttempt = {});
 
   // EngineSlots.cpp
-  void on(const SlotMessageArrived &E);
+  void handleEvent(const SlotMessageArrived &E);
   void electSchedulers();
   void updateSchedulers();
   bool exchangeSlots();
-  void askFor(SlotHolder &Holder, const PoolName &Target,
-              const SlotDemand &Wanted);
-  void deliver(const SlotScheduler::Grants &Grants);
-  void take(const EntryName &From, const SlotGrant &Grant);
-  static PoolName sparePoolOf(const RuleSet &Rules);
-  std::uint32_t spillingPools() const;
-  bool allPromptSpills(const PoolName &Name) const;
-  std::size_t liveEntries() const;
-
-  Random Rng;
+  void requestSlots(SlotHolder &Holder, const PoolName &TargetPool,
+                    const SlotDemand &Demand);
+  void deliverGrants(const SlotScheduler::Grants &Grants);
+  void receiveGrant(const EntryName &SenderEntry, const SlotGrant &Grant);
+  static PoolName findSparePool(const RuleSet &Rules);
+  std::uint32_t countSpillingPools() const;
+  bool canAllPromptSpill(const PoolName &Name) const;
+  std::size_t liveEntryCount() const;
+
+  RandomEngine Rng;
   Instant Now{};
-  // After a pause of the process, when the view of workers may be old: no
-  // work is placed before this instant.
-  Instant HoldUntil{};
-  bool Stopping = false;
+  // No work is placed before this instant: after a pause of the process, the
+  // list of workers may be outdated.
+  Instant PlacementPausedUntil{};
+  bool IsStopping = false;
   std::uint64_t LastKey = 0;
   std::uint64_t LastAttempt = 0;
-  std::vector<Action> Out;
-  std::unordered_map<RequestId, RequestKey> ById;
-  // Open requests by the identifier that their claim was asked under.
-  std::unordered_map<RequestId, RequestKey> Claims;
-  // Open requests with an idempotency key.
-  std::unordered_map<std::string, RequestKey> ByKey;
-  // Deadlines, ends of back-offs and times to hedge.
+  std::vector<Action> Actions;
+  std::unordered_map<RequestId, RequestKey> RequestsById;
+  // Open requests by the identifier that their claim was requested under.
+  std::unordered_map<RequestId, RequestKey> RequestsByClaim;
+  // Open requests by scoped idempotency key.
+  std::unordered_map<std::string, RequestKey> RequestsByIdempotencyKey;
+  // Request deadlines, ends of back-offs and times to hedge.
   std::set<std::pair<Instant, RequestKey>> Timers;
-  // Pools whose queue may go on.
-  std::set<PoolName> Dirty;
-  // Pools whose demand or holdings may have changed.
-  std::set<PoolName> Touched;
+  // Pools in which a queued request may be placed now.
+  std::set<PoolName> PoolsToSchedule;
+  // Pools whose slot demand or holdings may have changed.
+  std::set<PoolName> PoolsWithSlotChanges;
   PoolName SparePool;
-  SizeModel Sizes;
+  JobStatistics Statistics;
   WorkerHealth Health;
-  std::vector<EntryName> Live;
-  // Invariant: the pools for which this entry is schedulerOf(pool, Live).
+  std::vector<EntryName> LiveEntries;
+  // Invariant: one scheduler for each pool for which electScheduler() names
+  // this entry.
   std::map<PoolName, SlotScheduler> Schedulers;
 };
 
--- a/Source/Placement/EngineRequests.cpp
+++ b/Source/Placement/EngineRequests.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// A request's arrival, claim, cancellation, deadline and end.
+/// The life of a request: arrival, claim, cancellation, deadline and end.
 
 #include "EngineImpl.h"
 
@@ -9,217 +9,230 @@
 
 namespace {
 
-/// Patient work is ordered among prompt work after this part of its deadline.
-constexpr int AgeingDivisor = 2;
-constexpr Duration RetryHint = std::chrono::seconds(1);
+/// A patient request joins the prompt order after this fraction of its
+/// deadline.
+constexpr int AgingDivisor = 2;
+constexpr Duration RetryAfterHint = std::chrono::seconds(1);
 
-bool isOverload(Reason Why) {
-  return Why == Reason::QueueFull || Why == Reason::Stopping ||
-         Why == Reason::DeadlineUnreachable || Why == Reason::ClaimUnavailable;
+bool isOverload(Reason EndReason) {
+  return EndReason == Reason::QueueFull || EndReason == Reason::Stopping ||
+         EndReason == Reason::DeadlineUnreachable ||
+         EndReason == Reason::ClaimUnavailable;
 }
 
 } // namespace
 
-OpenRequest *Engine::Impl::find(const RequestId &Id) {
-  const auto Found = ById.find(Id);
-  return Found == ById.end() ? nullptr : &Requests.at(Found->second);
+OpenRequest *Engine::Impl::findRequest(const RequestId &Id) {
+  const auto It = RequestsById.find(Id);
+  return It == RequestsById.end() ? nullptr : &Requests.at(It->second);
 }
 
-/// Keys of different teams and jobs never meet.
-std::string Engine::Impl::keyOf(const Request &Asked) {
-  return Asked.Team.Text + '\n' + Asked.Job.Text + '\n' + Asked.IdempotencyKey;
+/// Idempotency keys of different teams or jobs are distinct.
+std::string Engine::Impl::scopedIdempotencyKey(const Request &CallerRequest) {
+  return CallerRequest.Team.Text + '\n' + CallerRequest.Job.Text + '\n' +
+         CallerRequest.IdempotencyKey;
 }
 
-bool Engine::Impl::refuse(const Request &Asked, const JobRule *Rule) {
-  if (Stopping || Rule == nullptr) {
-    finishNow(Asked.Id, Outcome::NotRun,
-              Stopping ? Reason::Stopping : Reason::UnknownJob);
+bool Engine::Impl::refuseIfInadmissible(const Request &CallerRequest,
+                                        const JobRule *Rule) {
+  if (IsStopping || Rule == nullptr) {
+    emitFinish(CallerRequest.Id, Outcome::NotRun,
+               IsStopping ? Reason::Stopping : Reason::UnknownJob);
     return true;
   }
-  const PoolState &P = pool(Rule->Pool);
+  const PoolState &Pool = poolState(Rule->Pool);
   const std::uint32_t Slots = Workers.slots(Rule->Pool) +
                               (Rule->MaySpill ? Workers.slots(SparePool) : 0);
-  const PoolLoad Load{P.Queue.size(), Options.MaxQueuedPerPool,
-                      P.Queue.urgentCount(),
-                      double(Slots) / double(liveEntries())};
-  const std::optional<Reason> Why =
-      refusalReason(Asked, *Rule, *Rules->pool(Rule->Pool), Sizes, Load, Now);
-  if (Why) {
-    finishNow(Asked.Id, Outcome::NotRun, *Why);
+  const PoolLoad Load{Pool.Queue.size(), Options.MaxQueuedPerPool,
+                      Pool.Queue.urgentCount(),
+                      double(Slots) / double(liveEntryCount())};
+  const std::optional<Reason> RefusalReason = refusalReason(
+      CallerRequest, *Rule, *Rules->pool(Rule->Pool), Statistics, Load, Now);
+  if (RefusalReason) {
+    emitFinish(CallerRequest.Id, Outcome::NotRun, *RefusalReason);
     return true;
   }
   if (Health.isEjected(Rule->Job) && !Health.admitJobProbe(Rule->Job, Now)) {
-    finishNow(Asked.Id, Outcome::NotRun, Reason::JobEjected);
+    emitFinish(CallerRequest.Id, Outcome::NotRun, Reason::JobEjected);
     return true;
   }
   return false;
 }
 
-/// A repeat of a request that is open here waits for the same end.
-bool Engine::Impl::joinFirst(const Request &Asked) {
-  const auto Found = ByKey.find(keyOf(Asked));
-  if (Asked.IdempotencyKey.empty() || Found == ByKey.end()) {
+/// Attaches a repeat of an open request to it, so that both get the same end.
+/// Returns false if there is no such request.
+bool Engine::Impl::joinOpenRequest(const Request &CallerRequest) {
+  const auto It =
+      RequestsByIdempotencyKey.find(scopedIdempotencyKey(CallerRequest));
+  if (CallerRequest.IdempotencyKey.empty() ||
+      It == RequestsByIdempotencyKey.end()) {
     return false;
   }
-  OpenRequest &First = Requests.at(Found->second);
-  if (First.Asked.BodyDigest != Asked.BodyDigest) {
-    finishNow(Asked.Id, Outcome::NotRun, Reason::KeyReused);
+  OpenRequest &FirstRequest = Requests.at(It->second);
+  if (FirstRequest.CallerRequest.BodyDigest != CallerRequest.BodyDigest) {
+    emitFinish(CallerRequest.Id, Outcome::NotRun, Reason::KeyReused);
     return true;
   }
-  First.Repeats.push_back(Asked.Id);
-  ById.emplace(Asked.Id, First.Key);
+  FirstRequest.RepeatIds.push_back(CallerRequest.Id);
+  RequestsById.emplace(CallerRequest.Id, FirstRequest.Key);
   return true;
 }
 
-void Engine::Impl::on(const RequestArrived &E) {
+void Engine::Impl::handleEvent(const RequestArrived &E) {
   const JobRule *Rule = findJobRule(Rules.get(), E.Asked.Job);
-  if (joinFirst(E.Asked) || refuse(E.Asked, Rule)) {
+  if (joinOpenRequest(E.Asked) || refuseIfInadmissible(E.Asked, Rule)) {
     return;
   }
   const RequestKey Key(++LastKey);
-  OpenRequest &R = Requests[Key];
-  R.Key = Key;
-  R.Asked = E.Asked;
-  R.Rule = *Rule;
-  R.Deadline = Now + E.Asked.TimeLeft.value_or(Rule->Deadline);
-  R.JobProbe = Health.isEjected(Rule->Job);
-  ById.emplace(E.Asked.Id, Key);
-  Timers.emplace(R.Deadline, Key);
+  OpenRequest &Req = Requests[Key];
+  Req.Key = Key;
+  Req.CallerRequest = E.Asked;
+  Req.Rule = *Rule;
+  Req.Deadline = Now + E.Asked.TimeLeft.value_or(Rule->Deadline);
+  Req.IsJobProbe = Health.isEjected(Rule->Job);
+  RequestsById.emplace(E.Asked.Id, Key);
+  Timers.emplace(Req.Deadline, Key);
   if (Rule->Idempotent || E.Asked.IdempotencyKey.empty()) {
-    enqueue(R);
+    enqueue(Req);
     return;
   }
-  ByKey.emplace(keyOf(E.Asked), Key);
-  Claims.emplace(E.Asked.Id, Key);
-  R.ClaimId = E.Asked.Id;
-  R.At = Phase::Claiming;
-  Out.push_back(ClaimKey{E.Asked.Id, keyOf(E.Asked), E.Asked.BodyDigest,
-                         R.Deadline - Now});
+  RequestsByIdempotencyKey.emplace(scopedIdempotencyKey(E.Asked), Key);
+  RequestsByClaim.emplace(E.Asked.Id, Key);
+  Req.ClaimId = E.Asked.Id;
+  Req.Phase = RequestPhase::Claiming;
+  Actions.push_back(ClaimKey{E.Asked.Id, scopedIdempotencyKey(E.Asked),
+                             E.Asked.BodyDigest, Req.Deadline - Now});
 }
 
-void Engine::Impl::enqueue(OpenRequest &R) {
-  R.At = R.Hedging ? Phase::Running : Phase::Waiting;
-  const Instant LatestStart = R.Deadline - Sizes.runTime(R.Rule);
-  const Instant AgesAt = Now + (R.Deadline - Now) / AgeingDivisor;
-  pool(R.Rule.Pool)
-      .Queue.push({R.Key, R.Asked.Team, R.Rule.Class, LatestStart, AgesAt,
-                   R.Rule.MaySpill});
-  Dirty.insert(R.Rule.Pool);
+void Engine::Impl::enqueue(OpenRequest &Req) {
+  Req.Phase = Req.IsHedgeQueued ? RequestPhase::Running : RequestPhase::Queued;
+  const Instant LatestStart = Req.Deadline - Statistics.runTime(Req.Rule);
+  const Instant AgingTime = Now + (Req.Deadline - Now) / AgingDivisor;
+  poolState(Req.Rule.Pool)
+      .Queue.push({Req.Key, Req.CallerRequest.Team, Req.Rule.Class, LatestStart,
+                   AgingTime, Req.Rule.MaySpill});
+  PoolsToSchedule.insert(Req.Rule.Pool);
 }
 
-void Engine::Impl::on(const ClaimSettled &E) {
-  const auto Found = Claims.find(E.Id);
-  if (Found == Claims.end()) {
+void Engine::Impl::handleEvent(const ClaimSettled &E) {
+  const auto It = RequestsByClaim.find(E.Id);
+  if (It == RequestsByClaim.end()) {
     return;
   }
-  OpenRequest *R = &Requests.at(Found->second);
-  Claims.erase(Found);
+  OpenRequest *Req = &Requests.at(It->second);
+  RequestsByClaim.erase(It);
   switch (E.Result) {
   case ClaimResult::Won:
-    R->DispatchDeadline = E.DispatchDeadline;
-    enqueue(*R);
+    Req->DispatchDeadline = E.DispatchDeadline;
+    enqueue(*Req);
     return;
   case ClaimResult::Taken:
-    finish(R->Key, Outcome::Unknown, Reason::ClaimTaken, {}, E.First);
+    finishRequest(Req->Key, Outcome::Unknown, Reason::ClaimTaken, {}, E.First);
     return;
   case ClaimResult::OtherBody:
-    finish(R->Key, Outcome::NotRun, Reason::KeyReused);
+    finishRequest(Req->Key, Outcome::NotRun, Reason::KeyReused);
     return;
   case ClaimResult::Unavailable:
-    finish(R->Key, Outcome::NotRun, Reason::ClaimUnavailable);
+    finishRequest(Req->Key, Outcome::NotRun, Reason::ClaimUnavailable);
     return;
   }
 }
 
-void Engine::Impl::on(const RequestCancelled &E) {
-  OpenRequest *R = find(E.Id);
-  if (R == nullptr) {
+void Engine::Impl::handleEvent(const RequestCancelled &E) {
+  OpenRequest *Req = findRequest(E.Id);
+  if (Req == nullptr) {
     return;
   }
-  const bool Ran = R->MayHaveRun || !R->Running.empty();
-  const Outcome End = Ran ? Outcome::Unknown : Outcome::NotRun;
-  if (R->Repeats.empty()) {
-    cancelRunning(*R);
-    finish(R->Key, End, Reason::Cancelled);
+  const bool MayHaveRun = Req->MayHaveRun || !Req->RunningAttempts.empty();
+  const Outcome FinalOutcome = MayHaveRun ? Outcome::Unknown : Outcome::NotRun;
+  if (Req->RepeatIds.empty()) {
+    cancelAttempts(*Req);
+    finishRequest(Req->Key, FinalOutcome, Reason::Cancelled);
     return;
   }
-  // The others that wait with the same key still want the answer.
-  ById.erase(E.Id);
-  if (R->Asked.Id != E.Id) {
-    std::erase(R->Repeats, E.Id);
-    finishNow(E.Id, Outcome::Unknown, Reason::Cancelled);
+  // The other requests with the same key still need the answer.
+  RequestsById.erase(E.Id);
+  if (Req->CallerRequest.Id != E.Id) {
+    std::erase(Req->RepeatIds, E.Id);
+    emitFinish(E.Id, Outcome::Unknown, Reason::Cancelled);
     return;
   }
-  R->Asked.Id = R->Repeats.front();
-  R->Repeats.erase(R->Repeats.begin());
-  finishNow(E.Id, Outcome::Unknown, Reason::Cancelled);
+  Req->CallerRequest.Id = Req->RepeatIds.front();
+  Req->RepeatIds.erase(Req->RepeatIds.begin());
+  emitFinish(E.Id, Outcome::Unknown, Reason::Cancelled);
 }
 
-void Engine::Impl::passDeadline(OpenRequest &R) {
-  const bool Ran = R.MayHaveRun || !R.Running.empty();
-  for (const AttemptId Attempt : R.Running) {
-    const OpenAttempt &Open = Attempts.at(Attempt);
-    if (Now - Open.Started > 2 * Sizes.runTime(R.Rule)) {
-      apply(Health.recordFailure(Open.Host, Open.WorkerPool, R.Rule.Job, true,
-                                 Now));
+void Engine::Impl::expireRequest(OpenRequest &Req) {
+  const bool MayHaveRun = Req.MayHaveRun || !Req.RunningAttempts.empty();
+  for (const AttemptId Attempt : Req.RunningAttempts) {
+    const OpenAttempt &RunningAttempt = Attempts.at(Attempt);
+    if (Now - RunningAttempt.StartTime > 2 * Statistics.runTime(Req.Rule)) {
+      applyHealthChange(Health.recordFailure(RunningAttempt.Host,
+                                             RunningAttempt.WorkerPool,
+                                             Req.Rule.Job, true, Now));
     }
   }
-  cancelRunning(R);
-  const bool Claiming = R.At == Phase::Claiming;
-  finish(R.Key, Ran ? Outcome::Unknown : Outcome::NotRun,
-         Claiming ? Reason::ClaimUnavailable : Reason::DeadlinePassed);
+  cancelAttempts(Req);
+  const bool IsClaiming = Req.Phase == RequestPhase::Claiming;
+  finishRequest(Req.Key, MayHaveRun ? Outcome::Unknown : Outcome::NotRun,
+                IsClaiming ? Reason::ClaimUnavailable : Reason::DeadlinePassed);
 }
 
-void Engine::Impl::setTimer(OpenRequest &R, Instant At) {
-  clearTimer(R);
-  if (At < R.Deadline) {
-    R.Timer = At;
-    Timers.emplace(At, R.Key);
+void Engine::Impl::setTimer(OpenRequest &Req, Instant Expiry) {
+  clearTimer(Req);
+  if (Expiry < Req.Deadline) {
+    Req.TimerExpiry = Expiry;
+    Timers.emplace(Expiry, Req.Key);
   }
 }
 
-void Engine::Impl::clearTimer(OpenRequest &R) {
-  if (R.Timer) {
-    Timers.erase({*R.Timer, R.Key});
-    R.Timer.reset();
+void Engine::Impl::clearTimer(OpenRequest &Req) {
+  if (Req.TimerExpiry) {
+    Timers.erase({*Req.TimerExpiry, Req.Key});
+    Req.TimerExpiry.reset();
   }
 }
 
-void Engine::Impl::finish(RequestKey Key, Outcome End, Reason Why,
-                          AttemptId Attempt, std::optional<Outcome> First) {
-  const auto Found = Requests.find(Key);
-  clearTimer(Found->second);
-  const OpenRequest R = std::move(Found->second);
-  Requests.erase(Found);
-  Timers.erase({R.Deadline, Key});
-  pool(R.Rule.Pool).Queue.remove(Key);
-  ById.erase(R.Asked.Id);
-  Claims.erase(R.ClaimId);
-  if (const auto Named = ByKey.find(keyOf(R.Asked));
-      Named != ByKey.end() && Named->second == Key) {
-    ByKey.erase(Named);
-  }
-  if (R.JobProbe) {
-    Health.clearProbe({}, R.Rule.Job);
-  }
-  finishNow(R.Asked.Id, End, Why, Attempt, First);
-  for (const RequestId &Repeat : R.Repeats) {
-    ById.erase(Repeat);
-    const bool Answered = End == Outcome::Answered;
-    finishNow(Repeat, End, Answered ? Reason::AnswerRepeated : Why, Attempt,
-              First);
+void Engine::Impl::finishRequest(RequestKey Key, Outcome FinalOutcome,
+                                 Reason EndReason, AttemptId Attempt,
+                                 std::optional<Outcome> PriorOutcome) {
+  const auto It = Requests.find(Key);
+  clearTimer(It->second);
+  const OpenRequest Req = std::move(It->second);
+  Requests.erase(It);
+  Timers.erase({Req.Deadline, Key});
+  poolState(Req.Rule.Pool).Queue.remove(Key);
+  RequestsById.erase(Req.CallerRequest.Id);
+  RequestsByClaim.erase(Req.ClaimId);
+  if (const auto KeyIt = RequestsByIdempotencyKey.find(
+          scopedIdempotencyKey(Req.CallerRequest));
+      KeyIt != RequestsByIdempotencyKey.end() && KeyIt->second == Key) {
+    RequestsByIdempotencyKey.erase(KeyIt);
+  }
+  if (Req.IsJobProbe) {
+    Health.clearProbe({}, Req.Rule.Job);
+  }
+  emitFinish(Req.CallerRequest.Id, FinalOutcome, EndReason, Attempt,
+             PriorOutcome);
+  for (const RequestId &Repeat : Req.RepeatIds) {
+    RequestsById.erase(Repeat);
+    const bool IsAnswered = FinalOutcome == Outcome::Answered;
+    emitFinish(Repeat, FinalOutcome,
+               IsAnswered ? Reason::AnswerRepeated : EndReason, Attempt,
+               PriorOutcome);
   }
 }
 
-void Engine::Impl::finishNow(const RequestId &Id, Outcome End, Reason Why,
-                             AttemptId Attempt, std::optional<Outcome> First) {
-  Counters.Answered += End == Outcome::Answered ? 1 : 0;
-  Counters.NotRun += End == Outcome::NotRun ? 1 : 0;
-  Counters.Unknown += End == Outcome::Unknown ? 1 : 0;
-  Out.push_back(FinishRequest{Id, End, Why, Attempt,
-                              isOverload(Why) ? RetryHint : Duration::zero(),
-                              First});
-  log(Id.Text, Why, 0, {{"outcome", outcomeCode(End)}});
+void Engine::Impl::emitFinish(const RequestId &Id, Outcome FinalOutcome,
+                              Reason EndReason, AttemptId Attempt,
+                              std::optional<Outcome> PriorOutcome) {
+  Counters.Answered += FinalOutcome == Outcome::Answered ? 1 : 0;
+  Counters.NotRun += FinalOutcome == Outcome::NotRun ? 1 : 0;
+  Counters.Unknown += FinalOutcome == Outcome::Unknown ? 1 : 0;
+  Actions.push_back(FinishRequest{
+      Id, FinalOutcome, EndReason, Attempt,
+      isOverload(EndReason) ? RetryAfterHint : Duration::zero(), PriorOutcome});
+  logDecision(Id.Text, EndReason, 0, {{"outcome", outcomeCode(FinalOutcome)}});
 }
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/EngineSlots.cpp
+++ b/Source/Placement/EngineSlots.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Slots exchanged between entries: asks, grants, and the scheduler's part.
+/// Slot messages between entries, and the slot schedulers of this entry.
 
 #include "EngineImpl.h"
 
@@ -7,7 +7,7 @@
 
 namespace balsamlatch::placement {
 
-PoolName Engine::Impl::sparePoolOf(const RuleSet &Rules) {
+PoolName Engine::Impl::findSparePool(const RuleSet &Rules) {
   for (const auto &[Name, Rule] : Rules.Pools) {
     if (Rule.Spare) {
       return Name;
@@ -16,18 +16,18 @@
   return {};
 }
 
-std::uint32_t Engine::Impl::spillingPools() const {
-  std::set<PoolName> Spilling;
+std::uint32_t Engine::Impl::countSpillingPools() const {
+  std::set<PoolName> SpillPools;
   for (const auto &[Name, Rule] : Rules->Jobs) {
     if (Rule.MaySpill) {
-      Spilling.insert(Rule.Pool);
+      SpillPools.insert(Rule.Pool);
     }
   }
-  return static_cast<std::uint32_t>(Spilling.size());
+  return static_cast<std::uint32_t>(SpillPools.size());
 }
 
-/// Whether the spare pool can take every burst of the pool's prompt jobs.
-bool Engine::Impl::allPromptSpills(const PoolName &Name) const {
+/// Whether all prompt jobs of the pool may spill to the spare pool.
+bool Engine::Impl::canAllPromptSpill(const PoolName &Name) const {
   return std::all_of(Rules->Jobs.begin(), Rules->Jobs.end(),
                      [&](const auto &Item) {
                        const JobRule &Rule = Item.second;
@@ -36,17 +36,17 @@
                      });
 }
 
-/// Finds the scheduler of each pool, and takes up or lays down this entry's
-/// own part.
+/// Determines the scheduler of each pool, and starts or stops the schedulers
+/// that run in this entry.
 void Engine::Impl::electSchedulers() {
   if (Options.Choice != Policy::SlotGrants || Rules == nullptr) {
     return;
   }
-  for (auto &[Name, P] : Pools) {
-    const EntryName Scheduler = electScheduler(Name, Live);
-    P.Own.setScheduler(Scheduler);
-    if (P.Spare) {
-      P.Spare->setScheduler(electScheduler(SparePool, Live));
+  for (auto &[Name, Pool] : Pools) {
+    const EntryName Scheduler = electScheduler(Name, LiveEntries);
+    Pool.OwnSlots.setScheduler(Scheduler);
+    if (Pool.SpareSlots) {
+      Pool.SpareSlots->setScheduler(electScheduler(SparePool, LiveEntries));
     }
     if (Scheduler == Options.Self) {
       Schedulers.try_emplace(Name, Name);
@@ -59,98 +59,106 @@
 
 void Engine::Impl::updateSchedulers() {
   for (auto &[Name, Scheduler] : Schedulers) {
-    std::vector<WorkerSlots> Open;
+    std::vector<WorkerSlots> AcceptingWorkers;
     for (const WorkerState *Worker : Workers.members(Name)) {
       if (Worker->View.Accepting) {
-        Open.push_back({Worker->View.Host, Worker->View.Slots});
+        AcceptingWorkers.push_back({Worker->View.Host, Worker->View.Slots});
       }
     }
     SchedulerLimits Limits;
     Limits.MaxPatientPercent = MaxPatientPercent;
-    Limits.MinPatientPercent =
-        allPromptSpills(Name) ? MinPatientPercentWithSpill : MinPatientPercent;
-    Limits.SpillingPoolCount = Name == SparePool ? spillingPools() : 0;
+    Limits.MinPatientPercent = canAllPromptSpill(Name)
+                                   ? MinPatientPercentWithSpill
+                                   : MinPatientPercent;
+    Limits.SpillingPoolCount = Name == SparePool ? countSpillingPools() : 0;
     Scheduler.setLimits(Limits);
-    Scheduler.setWorkers(Open);
-    Scheduler.setEntries(Live);
+    Scheduler.setWorkers(AcceptingWorkers);
+    Scheduler.setEntries(LiveEntries);
   }
 }
 
-void Engine::Impl::on(const SlotMessageArrived &E) {
-  if (const auto *Ask = std::get_if<SlotAsk>(&E.Message)) {
-    const auto Found = Schedulers.find(Ask->Pool);
-    if (Found != Schedulers.end()) {
-      deliver(Found->second.handleRequest(E.From, *Ask, Now));
+void Engine::Impl::handleEvent(const SlotMessageArrived &E) {
+  if (const auto *Message = std::get_if<SlotAsk>(&E.Message)) {
+    const auto It = Schedulers.find(Message->Pool);
+    if (It != Schedulers.end()) {
+      deliverGrants(It->second.handleRequest(E.From, *Message, Now));
     }
   } else if (const auto *Grant = std::get_if<SlotGrant>(&E.Message)) {
-    take(E.From, *Grant);
+    receiveGrant(E.From, *Grant);
   }
 }
 
-void Engine::Impl::take(const EntryName &From, const SlotGrant &Grant) {
-  PoolState &P = pool(Grant.For.empty() ? Grant.Pool : Grant.For);
+void Engine::Impl::receiveGrant(const EntryName &SenderEntry,
+                                const SlotGrant &Grant) {
+  PoolState &Pool = poolState(Grant.For.empty() ? Grant.Pool : Grant.For);
   const bool OnSpare = !Grant.For.empty() && Grant.For != Grant.Pool;
-  if (OnSpare && !P.Spare) {
+  if (OnSpare && !Pool.SpareSlots) {
     return;
   }
-  (OnSpare ? *P.Spare : P.Own).addGrant(From, Grant, Now);
-  Dirty.insert(Grant.For.empty() ? Grant.Pool : Grant.For);
+  (OnSpare ? *Pool.SpareSlots : Pool.OwnSlots)
+      .addGrant(SenderEntry, Grant, Now);
+  PoolsToSchedule.insert(Grant.For.empty() ? Grant.Pool : Grant.For);
 }
 
-void Engine::Impl::deliver(const SlotScheduler::Grants &Grants) {
-  for (const auto &[To, Grant] : Grants) {
-    if (To == Options.Self) {
-      take(To, Grant);
+void Engine::Impl::deliverGrants(const SlotScheduler::Grants &Grants) {
+  for (const auto &[RecipientEntry, Grant] : Grants) {
+    if (RecipientEntry == Options.Self) {
+      receiveGrant(RecipientEntry, Grant);
     } else {
-      Out.push_back(SendSlotMessage{To, Grant});
+      Actions.push_back(SendSlotMessage{RecipientEntry, Grant});
     }
   }
 }
 
-/// Sends what asks are due. True if an answer from this entry's own schedulers
-/// may let more work start.
+/// Sends the slot requests that are due. Returns whether grants of schedulers
+/// in this entry may allow more work to start.
 bool Engine::Impl::exchangeSlots() {
   if (Options.Choice != Policy::SlotGrants || Rules == nullptr) {
     return false;
   }
-  for (const PoolName &Name : std::exchange(Touched, {})) {
-    PoolState &P = pool(Name);
-    const std::uint32_t Unused = P.Own.unusedCount();
-    const std::uint32_t Urgent = P.Queue.urgentCount();
-    SlotDemand Wanted;
-    Wanted.PromptCount = Urgent - std::min(Urgent, Unused);
-    Wanted.PatientCount = P.Queue.unagedCount();
-    Wanted.EarliestDeadline = P.Queue.earliestLatestStart();
-    askFor(P.Own, Name, Wanted);
-    if (P.Spare) {
-      const bool Spilling = P.Own.isPoolFull() && Wanted.PromptCount > 0;
-      const std::uint32_t Most =
-          std::min(Wanted.PromptCount, P.Queue.spillableCount());
-      Wanted.PromptCount =
-          Spilling ? Most - std::min(Most, P.Spare->unusedCount()) : 0;
-      Wanted.PatientCount = 0;
-      askFor(*P.Spare, SparePool, Wanted);
+  for (const PoolName &Name : std::exchange(PoolsWithSlotChanges, {})) {
+    PoolState &Pool = poolState(Name);
+    const std::uint32_t UnusedCount = Pool.OwnSlots.unusedCount();
+    const std::uint32_t UrgentCount = Pool.Queue.urgentCount();
+    SlotDemand Demand;
+    Demand.PromptCount = UrgentCount - std::min(UrgentCount, UnusedCount);
+    Demand.PatientCount = Pool.Queue.unagedCount();
+    Demand.EarliestDeadline = Pool.Queue.earliestLatestStart();
+    requestSlots(Pool.OwnSlots, Name, Demand);
+    if (Pool.SpareSlots) {
+      const bool ShouldSpill =
+          Pool.OwnSlots.isPoolFull() && Demand.PromptCount > 0;
+      const std::uint32_t SpillDemand =
+          std::min(Demand.PromptCount, Pool.Queue.spillableCount());
+      Demand.PromptCount =
+          ShouldSpill ? SpillDemand - std::min(SpillDemand,
+                                               Pool.SpareSlots->unusedCount())
+                      : 0;
+      Demand.PatientCount = 0;
+      requestSlots(*Pool.SpareSlots, SparePool, Demand);
     }
   }
-  return !Dirty.empty();
+  return !PoolsToSchedule.empty();
 }
 
-void Engine::Impl::askFor(SlotHolder &Holder, const PoolName &Target,
-                          const SlotDemand &Wanted) {
-  const bool Local = Holder.scheduler() == Options.Self;
-  const std::optional<SlotAsk> Ask = Holder.requestIfDue(
-      Wanted, Now, Local, [&] { return Workers.avoidedHosts(Target, Now); });
-  if (!Ask) {
+void Engine::Impl::requestSlots(SlotHolder &Holder, const PoolName &TargetPool,
+                                const SlotDemand &Demand) {
+  const bool IsLocal = Holder.scheduler() == Options.Self;
+  const std::optional<SlotAsk> Message =
+      Holder.requestIfDue(Demand, Now, IsLocal, [&] {
+        return Workers.avoidedHosts(TargetPool, Now);
+      });
+  if (!Message) {
     return;
   }
-  if (!Local) {
-    Out.push_back(SendSlotMessage{Holder.scheduler(), *Ask});
+  if (!IsLocal) {
+    Actions.push_back(SendSlotMessage{Holder.scheduler(), *Message});
     return;
   }
-  const auto Found = Schedulers.find(Target);
-  if (Found != Schedulers.end()) {
-    deliver(Found->second.handleRequest(Options.Self, *Ask, Now,
-                                        Holder.isLastRequestDelta()));
+  const auto It = Schedulers.find(TargetPool);
+  if (It != Schedulers.end()) {
+    deliverGrants(It->second.handleRequest(Options.Self, *Message, Now,
+                                           Holder.isLastRequestDelta()));
   }
 }
 
--- a/Source/Placement/SizeModel.cpp
+++ b/Source/Placement/JobStatistics.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Quantiles over the most recent observations of each job.
 
-#include "balsamlatch/Placement/SizeModel.h"
+#include "balsamlatch/Placement/JobStatistics.h"
 
 #include <algorithm>
 
@@ -32,35 +32,38 @@
   High = Sorted[FilledCount * HighPercent / Percent];
 }
 
-void SizeModel::recordRun(const JobName &Job, Duration RunTime, Instant Now) {
+void JobStatistics::recordRun(const JobName &Job, Duration RunTime,
+                              Instant Now) {
   JobObservations &Observations = Jobs[Job];
   Observations.RunMicros.add(RunTime.count());
   Observations.LastRun = Now;
 }
 
-void SizeModel::recordUsage(const TaskUsage &Usage) {
+void JobStatistics::recordUsage(const TaskUsage &Usage) {
   JobObservations &Observations = Jobs[Usage.Job];
   Observations.MilliCores.add(Usage.MilliCores);
   Observations.MemoryMiB.add(Usage.MemoryMiB);
 }
 
-const SizeModel::JobObservations *SizeModel::find(const JobName &Job) const {
+const JobStatistics::JobObservations *
+JobStatistics::find(const JobName &Job) const {
   const auto It = Jobs.find(Job);
   return It == Jobs.end() ? nullptr : &It->second;
 }
 
-bool SizeModel::hasEnoughRuns(const JobName &Job) const {
+bool JobStatistics::hasEnoughRuns(const JobName &Job) const {
   const JobObservations *Observations = find(Job);
   return Observations != nullptr &&
          Observations->RunMicros.count() >= MinObservations;
 }
 
-Duration SizeModel::runTime(const JobRule &Rule) const {
+Duration JobStatistics::runTime(const JobRule &Rule) const {
   return hasEnoughRuns(Rule.Job) ? Duration(find(Rule.Job)->RunMicros.high())
                                  : Rule.RunTime;
 }
 
-Duration SizeModel::shortestRunTime(const JobRule &Rule, Instant Now) const {
+Duration JobStatistics::shortestRunTime(const JobRule &Rule,
+                                        Instant Now) const {
   const JobObservations *Observations = find(Rule.Job);
   if (hasEnoughRuns(Rule.Job) &&
       Now - Observations->LastRun < FreshnessPeriod) {
@@ -69,7 +72,7 @@
   return Rule.RunTime / DeclaredRunTimeDivisor;
 }
 
-TaskSize SizeModel::size(const JobRule &Rule) const {
+TaskSize JobStatistics::size(const JobRule &Rule) const {
   const JobObservations *Observations = find(Rule.Job);
   if (Observations == nullptr ||
       Observations->MilliCores.count() < MinObservations) {
--- a/Source/Placement/Reason.cpp
+++ b/Source/Placement/Reason.cpp
@@ -1,12 +1,12 @@
 /// \file
-/// Stable text forms of reasons and outcomes.
+/// Stable text codes of reasons and outcomes.
 
 #include "balsamlatch/Placement/Events.h"
 
 namespace balsamlatch::placement {
 
-const char *reasonCode(Reason Why) {
-  switch (Why) {
+const char *reasonCode(Reason Value) {
+  switch (Value) {
   case Reason::Placed:
     return "placed";
   case Reason::PlacedOnSpare:
@@ -63,8 +63,8 @@
   return "unknown-reason";
 }
 
-const char *outcomeCode(Outcome End) {
-  switch (End) {
+const char *outcomeCode(Outcome Value) {
+  switch (Value) {
   case Outcome::Answered:
     return "answered";
   case Outcome::NotRun:
--- a/Source/Placement/RetryBudget.cpp
+++ b/Source/Placement/RetryBudget.cpp
@@ -27,7 +27,7 @@
   return true;
 }
 
-Duration backOffDelay(unsigned AttemptCount, Random &Rng) {
+Duration backOffDelay(unsigned AttemptCount, RandomEngine &Rng) {
   if (AttemptCount <= 1) {
     return Duration::zero();
   }
--- a/Source/Placement/SlotHolder.cpp
+++ b/Source/Placement/SlotHolder.cpp
@@ -9,8 +9,11 @@
 
 namespace {
 
+/// Unmet demand is requested again after this time.
 constexpr Duration RepeatInterval = std::chrono::milliseconds(20);
+/// Held slots are reported again after this time.
 constexpr Duration RefreshInterval = std::chrono::milliseconds(500);
+/// Without an answer for this long, workers are chosen without grants.
 constexpr Duration AnswerTimeout = std::chrono::milliseconds(60);
 
 } // namespace
--- a/Source/Placement/WorkerTable.cpp
+++ b/Source/Placement/WorkerTable.cpp
@@ -104,9 +104,9 @@
                                   (IsBroken ? MaxBlock : InitialBlock) *
                                       (std::int64_t(1) << Doublings));
   Worker.BlockedUntil = Now + Block;
-  const auto Members = PoolsByName.find(Worker.View.Pool);
-  if (Worker.IsListed && Members != PoolsByName.end()) {
-    Members->second.BlockedHosts.emplace(Worker.BlockedUntil, Worker.View.Host);
+  const auto It = PoolsByName.find(Worker.View.Pool);
+  if (Worker.IsListed && It != PoolsByName.end()) {
+    It->second.BlockedHosts.emplace(Worker.BlockedUntil, Worker.View.Host);
   }
   updateUsable(Worker, Now);
 }
@@ -114,7 +114,7 @@
 WorkerState *
 WorkerTable::chooseOfTwoRandom(const PoolName &Pool,
                                const std::vector<HostName> &TriedHosts,
-                               Random &Rng, Instant Now) {
+                               RandomEngine &Rng, Instant Now) {
   const auto It = PoolsByName.find(Pool);
   if (It == PoolsByName.end()) {
     return nullptr;
@@ -205,12 +205,12 @@
     return;
   }
   std::vector<WorkerState *> &UsableWorkers = It->second.UsableWorkers;
-  const bool ShouldBeListed = Worker.isUsable(Now);
-  const bool IsPresent = Worker.UsableIndex != WorkerState::NotUsable;
-  if (ShouldBeListed && !IsPresent) {
+  const bool IsUsable = Worker.isUsable(Now);
+  const bool IsInList = Worker.UsableIndex != WorkerState::NotUsable;
+  if (IsUsable && !IsInList) {
     Worker.UsableIndex = UsableWorkers.size();
     UsableWorkers.push_back(&Worker);
-  } else if (!ShouldBeListed && IsPresent) {
+  } else if (!IsUsable && IsInList) {
     UsableWorkers[Worker.UsableIndex] = UsableWorkers.back();
     UsableWorkers[Worker.UsableIndex]->UsableIndex = Worker.UsableIndex;
     UsableWorkers.pop_back();
@@ -231,7 +231,7 @@
 
 WorkerState *WorkerTable::drawWorker(PoolMembers &Members,
                                      const std::vector<HostName> &TriedHosts,
-                                     Random &Rng) {
+                                     RandomEngine &Rng) {
   const std::size_t Count = Members.UsableWorkers.size();
   WorkerState *Candidate = nullptr;
   for (int I = 0; Count > 0 && I < MaxDraws; ++I) {
--- a/Source/Placement/include/balsamlatch/Placement/Admission.h
+++ b/Source/Placement/include/balsamlatch/Placement/Admission.h
@@ -6,7 +6,7 @@
 #define BALSAMLATCH_PLACEMENT_ADMISSION_H
 
 #include "balsamlatch/Placement/Events.h"
-#include "balsamlatch/Placement/SizeModel.h"
+#include "balsamlatch/Placement/JobStatistics.h"
 
 #include <cstdint>
 #include <optional>
@@ -29,7 +29,7 @@
 /// Why a request of a known job is refused as not run; empty if it is admitted.
 std::optional<Reason> refusalReason(const Request &CallerRequest,
                                     const JobRule &Rule, const PoolRule &Pool,
-                                    const SizeModel &Sizes,
+                                    const JobStatistics &Statistics,
                                     const PoolLoad &Load, Instant Now);
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/Engine.h
+++ b/Source/Placement/include/balsamlatch/Placement/Engine.h
@@ -1,5 +1,5 @@
 /// \file
-/// The placement engine of one entry: admission, queues, scheduling, retries,
+/// The placement engine of one entry: admission, queueing, scheduling, retries,
 /// limits and worker health, as a state machine without I/O.
 
 #ifndef BALSAMLATCH_PLACEMENT_ENGINE_H
@@ -18,7 +18,8 @@
 enum class Policy {
   /// One entry for each pool hands out slot grants.
   SlotGrants,
-  /// The less loaded of two workers picked at random, by this entry's view.
+  /// The less loaded of two workers chosen at random, by the view of this
+  /// entry.
   TwoRandomChoices,
   RoundRobin
 };
@@ -28,7 +29,7 @@
   DataCentreName DataCentre;
   Policy Choice = Policy::SlotGrants;
   std::uint64_t Seed = 1;
-  /// Requests that wait in one pool's queue; more are refused as not run.
+  /// Limit on one pool's queue; further requests are refused as not run.
   std::size_t MaxQueuedPerPool = 20'000;
 };
 
@@ -49,7 +50,7 @@
   bool operator==(const EngineCounters &) const = default;
 };
 
-/// What one pool looks like now, for status and metrics.
+/// Current state of one pool, for status and metrics.
 struct PoolStanding {
   PoolName Pool;
   std::uint32_t QueuedPrompt = 0;
@@ -70,20 +71,21 @@
   Engine(Engine &&) noexcept;
   Engine &operator=(Engine &&) noexcept;
 
-  /// Takes one event and returns what to do, in order. \p Now never decreases
-  /// from call to call.
-  std::vector<Action> handle(const Event &Happened, Instant Now);
+  /// Handles one event and returns the actions to perform, in order. \p Now
+  /// never decreases from call to call.
+  std::vector<Action> handle(const Event &NewEvent, Instant Now);
 
   const EngineCounters &counters() const;
   std::vector<PoolStanding> standings() const;
 
-  /// Requests that have not ended, and attempts that may still run.
+  /// Numbers of requests that have not ended, and of attempts that may still
+  /// run.
   std::size_t openRequests() const;
   std::size_t openAttempts() const;
 
 private:
   class Impl;
-  std::unique_ptr<Impl> Self;
+  std::unique_ptr<Impl> Implementation;
 };
 
 } // namespace balsamlatch::placement
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the placement engine is told and what it decides, as values. The
-/// daemon and the replay drive the same engine with these.
+/// The input events and output actions of the placement engine, as values. The
+/// daemon and the replay drive the same engine with them.
 
 #ifndef BALSAMLATCH_PLACEMENT_EVENTS_H
 #define BALSAMLATCH_PLACEMENT_EVENTS_H
@@ -24,7 +24,7 @@
 
 /// How a request ended for its caller.
 enum class Outcome {
-  /// The whole answer of one attempt.
+  /// One attempt returned a complete answer.
   Answered,
   /// It certainly did not run.
   NotRun,
@@ -32,8 +32,8 @@
   Unknown
 };
 
-/// Why a request ended or an attempt was placed as it was. The text form is
-/// the stable code of a page in Help/reason.
+/// Why a request ended, or why an attempt was placed as it was. The text form
+/// is a stable code with its own page in Help/reason.
 enum class Reason {
   Placed,
   PlacedOnSpare,
@@ -61,26 +61,26 @@
   WorkerEjected,
   WorkerReadmitted,
   JobReadmitted,
-  /// The process stood still, so that nothing is placed for a moment.
+  /// The process was paused, so nothing is placed for a moment.
   Paused
 };
 
 /// The stable code, for example "deadline-passed".
-const char *reasonCode(Reason Why);
+const char *reasonCode(Reason Value);
 
 /// "answered", "not-run" or "unknown".
-const char *outcomeCode(Outcome End);
+const char *outcomeCode(Outcome Value);
 
-/// A caller's request. The body stays with the shell.
+/// A caller's request. The embedding program keeps the body.
 struct Request {
   RequestId Id;
   JobName Job;
   TeamName Team;
-  /// Time left to the whole answer; empty: the job's own deadline.
+  /// Time left for the complete answer; empty: the deadline of the job.
   std::optional<Duration> TimeLeft;
   /// Set by the caller; repeats with the same key run at most once.
   std::string IdempotencyKey;
-  /// Digest of the body: the same key with another body is refused.
+  /// Digest of the body: a repeat of the key with another body is refused.
   std::string BodyDigest;
 
   auto operator<=>(const Request &) const = default;
@@ -93,7 +93,7 @@
   PoolName Pool;
   RackName Rack;
   DataCentreName DataCentre;
-  /// False as soon as the host is leaving: no new work goes there.
+  /// False as soon as the host is leaving: it gets no new work.
   bool Accepting = true;
   std::uint32_t Slots = 8;
 
@@ -105,7 +105,7 @@
 struct RequestArrived {
   Request Asked;
 };
-/// The caller hung up or asked to cancel.
+/// The caller disconnected or asked to cancel.
 struct RequestCancelled {
   RequestId Id;
 };
@@ -120,7 +120,7 @@
 struct RulesChanged {
   RuleSetPtr Rules;
 };
-/// The whole view of usable workers replaces the one before.
+/// The complete list of usable workers, which replaces the previous one.
 struct WorkersChanged {
   std::vector<WorkerView> Workers;
 };
@@ -128,16 +128,17 @@
   HostName Host;
   WorkerReport Report;
 };
-/// Live entries, this one included.
+/// The live entries, this one included.
 struct EntriesChanged {
   std::vector<EntryName> Live;
 };
 
-/// What became of a claim on an idempotency key.
+/// Result of a claim on an idempotency key.
 enum class ClaimResult {
   /// This request may run.
   Won,
-  /// Another request with the key has the claim; its answer isn't here.
+  /// Another request with the key holds the claim; its answer is not available
+  /// here.
   Taken,
   /// The key was used before with another body.
   OtherBody,
@@ -147,57 +148,60 @@
 struct ClaimSettled {
   RequestId Id;
   ClaimResult Result = ClaimResult::Unavailable;
-  /// With Won: dispatch only before this instant.
+  /// With Won: no attempt may start from this instant on.
   Instant DispatchDeadline = Instant::max();
-  /// With Taken: how the first request ended, if its entry recorded that.
+  /// With Taken: the outcome of the first request, if its entry recorded it.
   std::optional<Outcome> First;
 };
 
-/// A message between the engines of two entries about slots of one pool:
-/// the pool's scheduler entry hands out grants.
+/// A request for slots of one pool, sent to the engine of the entry that
+/// schedules the pool.
 struct SlotAsk {
   PoolName Pool;
-  /// Slots wanted now beyond those held, by class.
+  /// Slots wanted now beyond those held, by class. Patient requests that have
+  /// aged count as prompt.
   std::uint32_t Prompt = 0;
   std::uint32_t Patient = 0;
-  /// Time until the earliest prompt deadline; zero: none waits.
+  /// Time until the earliest latest start of a prompt request; zero if none is
+  /// queued.
   Duration EarliestDeadline{};
-  /// Slots that the asker holds now on each worker, used or not, so that a
-  /// scheduler that takes over learns what is granted.
+  /// Slots that the sender holds on each worker, used or not, from which a new
+  /// scheduler learns the grants in effect.
   std::vector<std::pair<HostName, std::uint32_t>> InUse;
-  /// The pool whose requests want the slots; differs from Pool for a spill.
+  /// The pool whose queue needs the slots; differs from Pool for a spill.
   PoolName For;
-  /// Rises with each ask of one asker; an older ask that arrives late is void.
+  /// Increases with each request of one sender; an older one that arrives late
+  /// is ignored.
   std::uint64_t Sequence = 0;
-  /// Number of the last grant that arrived at the asker; later ones aren't in
-  /// InUse yet.
+  /// Number of the last grant that the sender received; InUse does not include
+  /// later ones yet.
   std::uint64_t LastGrant = 0;
-  /// Slots of InUse that patient work holds.
+  /// Part of the slots of InUse that patient work holds.
   std::uint32_t PatientInUse = 0;
-  /// Workers that the asker doesn't use now: they failed or refused.
+  /// Workers that the sender doesn't use now because they failed or refused.
   std::vector<HostName> Avoid;
 
   auto operator<=>(const SlotAsk &) const = default;
 };
-/// Slots granted. Each ask is answered by at least one; without slots it says
-/// how many are free.
+/// Slots granted. Each request is answered by at least one grant; a grant
+/// without slots only reports the number of free ones.
 struct SlotGrant {
   PoolName Pool;
   HostName Host;
   std::uint32_t Slots = 0;
-  /// The grant is void after this time from its arrival unless used.
+  /// The grant expires this long after its arrival unless it is used.
   Duration ValidFor{};
-  /// Copied from the ask.
+  /// Copied from the request.
   PoolName For;
   JobClass Class = JobClass::Prompt;
-  /// Rises with each grant of one scheduler entry.
+  /// Increases with each grant of one scheduler.
   std::uint64_t Number = 0;
-  /// Slots of the pool that nobody holds.
+  /// Slots of the pool that no entry holds.
   std::uint32_t Free = 0;
 
   auto operator<=>(const SlotGrant &) const = default;
 };
-/// Slots given back, used or unused.
+/// Slots returned, used or unused.
 struct SlotReturn {
   PoolName Pool;
   HostName Host;
@@ -211,9 +215,9 @@
   EntryName From;
   SlotMessage Message;
 };
-/// Time passed; sent every TickPeriod.
+/// The current time advanced; sent every TickPeriod.
 struct Tick {};
-/// Refuse new requests from now on; those in the engine go on to their end.
+/// Refuse new requests from now on; open requests continue to their end.
 struct StopRequested {};
 
 using Event = std::variant<RequestArrived, RequestCancelled, AttemptEnded,
@@ -231,10 +235,10 @@
   JobName Job;
   HostName Host;
   Address At;
-  /// The worker's lease on the task, and the bound of the wait for its answer.
+  /// The worker's lease on the task, which also limits the wait for the answer.
   Duration Lease{};
-  /// The shell's clock must not have passed this when the first byte leaves;
-  /// otherwise it sends nothing and reports NotSent.
+  /// The first byte must leave by this instant; otherwise the embedding program
+  /// sends nothing and reports NotSent.
   Instant NotAfter = Instant::max();
 };
 /// Tell the worker to stop the task; CancelConfirmed or AttemptEnded follows.
@@ -243,18 +247,18 @@
   HostName Host;
   Address At;
 };
-/// Give the caller its end. With Answered, the answer is that of Attempt.
+/// Report the end to the caller. With Answered, the answer is that of Attempt.
 struct FinishRequest {
   RequestId Id;
   Outcome End = Outcome::Unknown;
   Reason Why = Reason::NoWorker;
   AttemptId Attempt;
-  /// A hint when to try again; zero: none.
+  /// Hint when to try again; zero if there is none.
   Duration RetryAfter{};
-  /// With ClaimTaken: how the first request with the key ended, if known.
+  /// With ClaimTaken: the outcome of the first request with the key, if known.
   std::optional<Outcome> First;
 };
-/// Claim the key in the store before the request may run.
+/// Claim the key in the store; the request runs only once the claim is won.
 struct ClaimKey {
   RequestId Id;
   std::string Key;
@@ -266,14 +270,14 @@
   EntryName To;
   SlotMessage Message;
 };
-/// One line for the log and for explain.
+/// One decision, for the log and for `explain`.
 struct LogDecision {
-  /// Request or host that the line is about.
+  /// The request, attempt, job, host or entry that the decision is about.
   std::string Subject;
   Reason Why = Reason::Placed;
-  /// Line of the rule that drove it; 0: none.
+  /// Line of the rule that determined the decision; 0 if there is none.
   unsigned RuleLine = 0;
-  /// Choice, standing of the alternatives, versions.
+  /// Facts behind the decision: the choice and the state that it was based on.
   boost::json::object Details;
 };
 
--- a/Source/Placement/include/balsamlatch/Placement/SizeModel.h
+++ b/Source/Placement/include/balsamlatch/Placement/JobStatistics.h
@@ -2,8 +2,8 @@
 /// Run times and resource use of jobs as observed. Declared values, which may
 /// be far off, apply until there are enough observations.
 
-#ifndef BALSAMLATCH_PLACEMENT_SIZEMODEL_H
-#define BALSAMLATCH_PLACEMENT_SIZEMODEL_H
+#ifndef BALSAMLATCH_PLACEMENT_JOBSTATISTICS_H
+#define BALSAMLATCH_PLACEMENT_JOBSTATISTICS_H
 
 #include "balsamlatch/Base/Clock.h"
 #include "balsamlatch/Platform/Worker.h"
@@ -38,7 +38,7 @@
 };
 
 /// Not thread safe.
-class SizeModel {
+class JobStatistics {
 public:
   /// An attempt returned a complete answer after this run time.
   void recordRun(const JobName &Job, Duration RunTime, Instant Now);
--- a/Source/Placement/include/balsamlatch/Placement/RetryBudget.h
+++ b/Source/Placement/include/balsamlatch/Placement/RetryBudget.h
@@ -12,7 +12,7 @@
 
 namespace balsamlatch::placement {
 
-using Random = std::mt19937_64;
+using RandomEngine = std::mt19937_64;
 
 /// Limits retries and hedges of requests that may have run to a tenth of the
 /// first attempts, plus an initial allowance. A retry of an attempt that
@@ -34,7 +34,7 @@
 /// The delay before the next attempt after \p AttemptCount attempts: zero after
 /// the first, then uniformly distributed between zero and a bound that doubles
 /// with each attempt up to a cap.
-Duration backOffDelay(unsigned AttemptCount, Random &Rng);
+Duration backOffDelay(unsigned AttemptCount, RandomEngine &Rng);
 
 } // namespace balsamlatch::placement
 
--- a/Source/Placement/include/balsamlatch/Placement/WorkerTable.h
+++ b/Source/Placement/include/balsamlatch/Placement/WorkerTable.h
@@ -63,7 +63,7 @@
   /// TriedHosts while another worker is usable, with a limited number of draws.
   WorkerState *chooseOfTwoRandom(const PoolName &Pool,
                                  const std::vector<HostName> &TriedHosts,
-                                 Random &Rng, Instant Now);
+                                 RandomEngine &Rng, Instant Now);
   /// The next usable worker in round-robin order, or null.
   WorkerState *chooseRoundRobin(const PoolName &Pool,
                                 const std::vector<HostName> &TriedHosts,
@@ -96,7 +96,8 @@
   void updateUsable(WorkerState &Worker, Instant Now);
   void unblockExpired(PoolMembers &Members, Instant Now);
   WorkerState *drawWorker(PoolMembers &Members,
-                          const std::vector<HostName> &TriedHosts, Random &Rng);
+                          const std::vector<HostName> &TriedHosts,
+                          RandomEngine &Rng);
 
   std::unordered_map<HostName, std::unique_ptr<WorkerState>> WorkersByHost;
   std::unordered_map<PoolName, PoolMembers> PoolsByName;
--- a/Tests/Placement/ClaimKeeperTest.cpp
+++ b/Tests/Placement/ClaimKeeperTest.cpp
@@ -25,8 +25,8 @@
       if (const auto *Call = std::get_if<ClaimStoreCall>(&A)) {
         Calls.push_back(*Call);
       } else {
-        const auto &Settled = std::get<ClaimSettled>(A);
-        Results[Settled.Id.Text] = Settled;
+        const auto &Settlement = std::get<ClaimSettled>(A);
+        Results[Settlement.Id.Text] = Settlement;
       }
     }
   }
@@ -92,7 +92,7 @@
   BOOST_TEST((B.result("b2") == ClaimResult::OtherBody));
 }
 
-BOOST_AUTO_TEST_CASE(ALostAnswerIsSettledByReadingTheHolderBack) {
+BOOST_AUTO_TEST_CASE(AClaimWithALostReplyIsSettledByReadingTheShard) {
   FakeStore Backend;
   Entry A(Backend);
   A.claim("a1", "key");
@@ -112,7 +112,7 @@
   BOOST_TEST((A.result("a1") == ClaimResult::Unavailable));
 }
 
-BOOST_AUTO_TEST_CASE(AKeyGivenUpWithALostAnswerIsFreeAgainLater) {
+BOOST_AUTO_TEST_CASE(AnExpiredClaimWithALostReplyReleasesItsKey) {
   FakeStore Backend;
   Entry A(Backend);
   Entry B(Backend);
@@ -161,7 +161,7 @@
   BOOST_TEST((B.result("b1") == ClaimResult::Won));
 }
 
-BOOST_AUTO_TEST_CASE(ARepeatIsToldHowTheFirstEnded) {
+BOOST_AUTO_TEST_CASE(ARepeatGetsTheOutcomeOfTheFirstRequest) {
   FakeStore Backend;
   Entry A(Backend);
   Entry B(Backend);
@@ -196,10 +196,10 @@
   BOOST_TEST(rc::check("one winner", [] {
     FakeStore Backend;
     std::vector<Entry> Entries(3, Entry(Backend));
-    const auto StepValues =
+    const auto Steps =
         *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 1000));
     int LastRequest = 0;
-    for (const int Step : StepValues) {
+    for (const int Step : Steps) {
       Entry &E = Entries[Step % 3];
       const int Operation = Step / 3 % 8;
       if (Operation < 2) {
@@ -215,10 +215,10 @@
     std::map<std::string, int> Winners;
     for (Entry &E : Entries) {
       E.runUntilSettled();
-      for (const auto &[Id, Settled] : E.Results) {
+      for (const auto &[Id, Settlement] : E.Results) {
         const auto Digest = Backend.claimDigestOf(Id);
-        RC_ASSERT(Settled.Result != ClaimResult::Won || Digest.has_value());
-        if (Settled.Result == ClaimResult::Won) {
+        RC_ASSERT(Settlement.Result != ClaimResult::Won || Digest.has_value());
+        if (Settlement.Result == ClaimResult::Won) {
           RC_ASSERT(++Winners[*Digest] == 1);
         }
       }
--- a/Tests/Placement/Harness.h
+++ b/Tests/Placement/Harness.h
@@ -1,5 +1,5 @@
 /// \file
-/// One engine with a small rule set and workers, driven by hand.
+/// An engine with a small rule set and a few workers, driven by single events.
 
 #ifndef BALSAMLATCH_TESTS_PLACEMENT_HARNESS_H
 #define BALSAMLATCH_TESTS_PLACEMENT_HARNESS_H
@@ -12,8 +12,8 @@
 
 namespace balsamlatch::placement {
 
-/// Pools counting and spare; jobs count (idempotent), deposit (not), sort
-/// (patient) and too-big.
+/// The pools counting and spare; the jobs count (idempotent), deposit (not
+/// idempotent), sort (patient) and too-big.
 inline RuleSetPtr sampleRules() {
   using namespace std::chrono_literals;
   auto Rules = std::make_shared<RuleSet>();
@@ -22,78 +22,81 @@
   const PoolName Spare("spare");
   Rules->Pools[Counting] = {Counting, false, {}, 4, {16'000, 65'536, 0}, {}};
   Rules->Pools[Spare] = {Spare, true, {}, 4, {16'000, 65'536, 0}, {}};
-  const auto Add = [&](const char *Name, JobClass Class, Duration Deadline,
-                       bool Idempotent, std::uint32_t MilliCores) {
+  const auto AddJob = [&](const char *Name, JobClass Class, Duration Deadline,
+                          bool Idempotent, std::uint32_t MilliCores) {
     const JobName Job(Name);
     Rules->Jobs[Job] = {Job,      Counting,   Class,
                         Deadline, Idempotent, {MilliCores, 512, 0},
                         50ms,     true,       {}};
   };
-  Add("count", JobClass::Prompt, 1s, true, 1'000);
-  Add("deposit", JobClass::Prompt, 1s, false, 1'000);
-  Add("sort", JobClass::Patient, 60s, true, 1'000);
-  Add("too-big", JobClass::Prompt, 1s, true, 1'000'000);
+  AddJob("count", JobClass::Prompt, 1s, true, 1'000);
+  AddJob("deposit", JobClass::Prompt, 1s, false, 1'000);
+  AddJob("sort", JobClass::Patient, 60s, true, 1'000);
+  AddJob("too-big", JobClass::Prompt, 1s, true, 1'000'000);
   return Rules;
 }
 
 inline std::vector<WorkerView>
 sampleWorkers(const std::string &Pool, unsigned Count, std::uint32_t Slots) {
-  std::vector<WorkerView> All;
+  std::vector<WorkerView> Views;
   for (unsigned I = 0; I < Count; ++I) {
     WorkerView View;
     View.Host = HostName(Pool + "-" + std::to_string(I));
     View.Pool = PoolName(Pool);
     View.Slots = Slots;
-    All.push_back(View);
+    Views.push_back(View);
   }
-  return All;
+  return Views;
 }
 
 struct Harness {
   explicit Harness(unsigned Workers = 4, std::uint32_t Slots = 8,
                    EngineOptions Options = {})
-      : Core(named(std::move(Options))) {
+      : TestEngine(withEntryName(std::move(Options))) {
     send(RulesChanged{sampleRules()});
     send(WorkersChanged{sampleWorkers("counting", Workers, Slots)});
   }
 
-  static EngineOptions named(EngineOptions Options) {
+  static EngineOptions withEntryName(EngineOptions Options) {
     Options.Self = EntryName("e1");
     return Options;
   }
 
-  /// Drives one event; the actions replace those of the event before.
-  void send(const Event &Happened) { Actions = Core.handle(Happened, Now); }
+  /// Handles one event; its actions replace those of the previous event.
+  void send(const Event &NewEvent) {
+    Actions = TestEngine.handle(NewEvent, Now);
+  }
 
-  void arrive(const std::string &Id, const std::string &Job,
-              const std::string &Key = "", const std::string &Team = "crew") {
+  void sendRequest(const std::string &Id, const std::string &Job,
+                   const std::string &Key = "",
+                   const std::string &Team = "crew") {
     send(RequestArrived{{RequestId(Id), JobName(Job), TeamName(Team),
                          std::nullopt, Key, "digest"}});
   }
 
-  /// Lets time pass, with one tick at its end.
-  void pass(Duration Step) {
+  /// Advances the time by one step and sends one tick at its end.
+  void advance(Duration Step) {
     Now += Step;
     send(Tick{});
   }
 
-  template <typename T> std::vector<T> all() const {
-    std::vector<T> Found;
+  template <typename T> std::vector<T> actionsOf() const {
+    std::vector<T> Matches;
     for (const Action &A : Actions) {
       if (const T *Match = std::get_if<T>(&A)) {
-        Found.push_back(*Match);
+        Matches.push_back(*Match);
       }
     }
-    return Found;
+    return Matches;
   }
 
-  template <typename T> T only() const {
-    const std::vector<T> Found = all<T>();
-    BOOST_REQUIRE(Found.size() == 1u);
-    return Found.front();
+  template <typename T> T onlyAction() const {
+    const std::vector<T> Matches = actionsOf<T>();
+    BOOST_REQUIRE(Matches.size() == 1u);
+    return Matches.front();
   }
 
-  Engine Core;
+  Engine TestEngine;
   Instant Now{};
   std::vector<Action> Actions;
 };
--- a/Tests/Placement/PartsTest.cpp
+++ b/Tests/Placement/PartsTest.cpp
@@ -3,9 +3,9 @@
 /// observed run times, attempts and slots.
 
 #include "balsamlatch/Placement/AttemptMachine.h"
+#include "balsamlatch/Placement/JobStatistics.h"
 #include "balsamlatch/Placement/PoolQueue.h"
 #include "balsamlatch/Placement/RetryBudget.h"
-#include "balsamlatch/Placement/SizeModel.h"
 #include "balsamlatch/Placement/SlotHolder.h"
 #include "balsamlatch/Placement/SlotScheduler.h"
 #include "balsamlatch/Placement/WorkerHealth.h"
@@ -28,14 +28,14 @@
   return HostName(fmt::format("host-{}", Number));
 }
 
-QueuedRequest makeQueued(std::uint64_t Key, const std::string &Team,
-                         JobClass Class, Duration LatestStart,
-                         Duration AgingTime = 1h) {
+QueuedRequest makeQueuedRequest(std::uint64_t Key, const std::string &Team,
+                                JobClass Class, Duration LatestStart,
+                                Duration AgingTime = 1h) {
   return {RequestKey(Key),      TeamName(Team),     Class,
           Instant(LatestStart), Instant(AgingTime), false};
 }
 
-SlotAsk makeAsk(std::uint64_t Sequence, std::uint32_t Prompt) {
+SlotAsk makeSlotRequest(std::uint64_t Sequence, std::uint32_t Prompt) {
   SlotAsk Message;
   Message.Pool = Pool;
   Message.For = Pool;
@@ -58,65 +58,65 @@
 
 BOOST_AUTO_TEST_SUITE(Parts)
 
-BOOST_AUTO_TEST_CASE(PromptWorkGoesByLatestStartAndPatientWorkAges) {
+BOOST_AUTO_TEST_CASE(PromptRequestsAreOrderedByLatestStartAndPatientOnesAge) {
   PoolQueue Queue;
   Queue.setSlots(8);
-  Queue.push(makeQueued(1, "a", JobClass::Patient, 50s, 10s));
-  Queue.push(makeQueued(2, "a", JobClass::Prompt, 70s));
-  Queue.push(makeQueued(3, "a", JobClass::Prompt, 60s));
+  Queue.push(makeQueuedRequest(1, "a", JobClass::Patient, 50s, 10s));
+  Queue.push(makeQueuedRequest(2, "a", JobClass::Prompt, 70s));
+  Queue.push(makeQueuedRequest(3, "a", JobClass::Prompt, 60s));
   BOOST_TEST(Queue.next(Instant(1s))->Key.Value == 3U);
   BOOST_TEST(Queue.next(Instant(10s))->Key.Value == 1U);
   BOOST_TEST(Queue.urgentCount() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(ATeamBeyondItsQuotaYieldsOnlyWhileOthersWait) {
+BOOST_AUTO_TEST_CASE(ATeamOverItsQuotaYieldsOnlyWhileOthersWait) {
   PoolQueue Queue;
   Queue.setQuota(TeamName("greedy"), 1);
   Queue.acquireSlot(TeamName("greedy"), JobClass::Prompt);
-  Queue.push(makeQueued(1, "greedy", JobClass::Prompt, 1s));
+  Queue.push(makeQueuedRequest(1, "greedy", JobClass::Prompt, 1s));
   BOOST_TEST(Queue.next(Instant())->Key.Value == 1U);
   Queue.setSlots(8);
-  Queue.push(makeQueued(2, "modest", JobClass::Prompt, 9s));
+  Queue.push(makeQueuedRequest(2, "modest", JobClass::Prompt, 9s));
   BOOST_TEST(Queue.next(Instant())->Key.Value == 2U);
   Queue.remove(RequestKey(2));
   BOOST_TEST(Queue.next(Instant())->Key.Value == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(TheQueueKeepsWhatIsPutInUntilItIsTakenOut) {
+BOOST_AUTO_TEST_CASE(RequestsStayQueuedUntilRemoved) {
   BOOST_TEST(rc::check("queue", [] {
     PoolQueue Queue;
     Queue.setSlots(4);
-    std::set<std::uint64_t> Model;
-    const auto StepValues = *rc::gen::container<std::vector<int>>(
+    std::set<std::uint64_t> ExpectedKeys;
+    const auto Steps = *rc::gen::container<std::vector<int>>(
         100, rc::gen::inRange(0, 100'000));
     std::uint64_t LastKey = 0;
     Instant Now{};
-    for (const int Step : StepValues) {
+    for (const int Step : Steps) {
       Now += Duration(Step);
       if (Step % 3 == 0) {
         const JobClass Class =
             Step % 2 == 0 ? JobClass::Prompt : JobClass::Patient;
-        Queue.push(makeQueued(++LastKey, fmt::format("team-{}", Step % 5),
-                              Class, Duration(Step * 7 % 1000),
-                              Duration(Step * 11 % 1'000'000)));
-        Model.insert(LastKey);
-      } else if (const QueuedRequest *Next = Queue.next(Now)) {
-        const QueuedRequest Selected = *Next;
-        RC_ASSERT(Model.erase(Selected.Key.Value) == 1U);
-        RC_ASSERT(Queue.remove(Selected.Key));
-        Queue.acquireSlot(Selected.Team, Selected.Class);
+        Queue.push(makeQueuedRequest(
+            ++LastKey, fmt::format("team-{}", Step % 5), Class,
+            Duration(Step * 7 % 1000), Duration(Step * 11 % 1'000'000)));
+        ExpectedKeys.insert(LastKey);
+      } else if (const QueuedRequest *NextRequest = Queue.next(Now)) {
+        const QueuedRequest SelectedRequest = *NextRequest;
+        RC_ASSERT(ExpectedKeys.erase(SelectedRequest.Key.Value) == 1U);
+        RC_ASSERT(Queue.remove(SelectedRequest.Key));
+        Queue.acquireSlot(SelectedRequest.Team, SelectedRequest.Class);
         if (Step % 3 == 1) {
-          Queue.releaseSlot(Selected.Team);
+          Queue.releaseSlot(SelectedRequest.Team);
         }
       }
-      RC_ASSERT(Queue.size() == Model.size());
+      RC_ASSERT(Queue.size() == ExpectedKeys.size());
       RC_ASSERT(Queue.empty() == (Queue.next(Now) == nullptr));
       RC_ASSERT(Queue.urgentCount() + Queue.unagedCount() == Queue.size());
     }
   }));
 }
 
-BOOST_AUTO_TEST_CASE(RetriesStayWithinTheirShareOfTheLoad) {
+BOOST_AUTO_TEST_CASE(RetriesStayWithinTheBudget) {
   BOOST_TEST(rc::check("budget", [] {
     RetryBudget Budget;
     double FirstAttempts = 0;
@@ -132,14 +132,14 @@
       RC_ASSERT(Retries <= 10 + FirstAttempts * 0.1 + 0.001);
     }
   }));
-  Random Rng(1);
+  RandomEngine Rng(1);
   BOOST_TEST((backOffDelay(1, Rng) == 0s));
   for (unsigned AttemptCount = 2; AttemptCount < 100; ++AttemptCount) {
     BOOST_TEST((backOffDelay(AttemptCount, Rng) <= 500ms));
   }
 }
 
-BOOST_AUTO_TEST_CASE(AWorkerIsBlamedOnlyForJobsThatSucceedElsewhere) {
+BOOST_AUTO_TEST_CASE(AWorkerIsEjectedOnlyForJobsThatSucceedElsewhere) {
   WorkerHealth Health;
   Health.setPoolSize(Pool, 10);
   for (int I = 0; I < 4; ++I) {
@@ -188,18 +188,19 @@
   BOOST_TEST(EjectedCount == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(RunTimesAreLearnedAndDeclaredOnesDoubted) {
+BOOST_AUTO_TEST_CASE(ObservedRunTimesReplaceDeclaredOnes) {
   JobRule Rule;
   Rule.Job = Quote;
   Rule.RunTime = 1s;
-  SizeModel Sizes;
-  BOOST_TEST((Sizes.shortestRunTime(Rule, Instant()) == 100ms));
+  JobStatistics Statistics;
+  BOOST_TEST((Statistics.shortestRunTime(Rule, Instant()) == 100ms));
   for (int I = 1; I <= 64; ++I) {
-    Sizes.recordRun(Quote, I * 1ms, Instant());
+    Statistics.recordRun(Quote, I * 1ms, Instant());
   }
-  BOOST_TEST((Sizes.runTime(Rule) >= 58ms && Sizes.runTime(Rule) <= 64ms));
-  BOOST_TEST((Sizes.shortestRunTime(Rule, Instant()) <= 10ms));
-  BOOST_TEST((Sizes.shortestRunTime(Rule, Instant(1h)) == 100ms));
+  BOOST_TEST(
+      (Statistics.runTime(Rule) >= 58ms && Statistics.runTime(Rule) <= 64ms));
+  BOOST_TEST((Statistics.shortestRunTime(Rule, Instant()) <= 10ms));
+  BOOST_TEST((Statistics.shortestRunTime(Rule, Instant(1h)) == 100ms));
 }
 
 BOOST_AUTO_TEST_CASE(AnAttemptHoldsItsSlotUntilItsEndIsCertain) {
@@ -214,28 +215,30 @@
 BOOST_AUTO_TEST_CASE(TheSchedulerNeverGrantsASlotTwice) {
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 2}, {host(2), 2}});
-  const auto FirstGrants =
-      Scheduler.handleRequest(EntryName("a"), makeAsk(1, 3), Instant(1s));
-  const auto SecondGrants =
-      Scheduler.handleRequest(EntryName("b"), makeAsk(1, 3), Instant(1s));
+  const auto FirstGrants = Scheduler.handleRequest(
+      EntryName("a"), makeSlotRequest(1, 3), Instant(1s));
+  const auto SecondGrants = Scheduler.handleRequest(
+      EntryName("b"), makeSlotRequest(1, 3), Instant(1s));
   BOOST_TEST(slotsGrantedTo(FirstGrants, "a") == 3U);
   BOOST_TEST(slotsGrantedTo(SecondGrants, "b") == 1U);
   BOOST_TEST(Scheduler.freeSlots() == 0U);
   // The entry received its grants, uses none of them, and wants none.
-  SlotAsk IdleMessage = makeAsk(2, 0);
+  SlotAsk IdleMessage = makeSlotRequest(2, 0);
   IdleMessage.LastGrant = FirstGrants.back().second.Number;
   const auto ThirdGrants =
       Scheduler.handleRequest(EntryName("a"), IdleMessage, Instant(1s));
   BOOST_TEST(slotsGrantedTo(ThirdGrants, "b") == 2U);
-  // An ask that arrives after a later one of the same entry is ignored.
-  BOOST_TEST(Scheduler.handleRequest(EntryName("a"), makeAsk(1, 9), Instant(1s))
-                 .empty());
+  // A request that arrives after a later one of the same entry is ignored.
+  BOOST_TEST(
+      Scheduler
+          .handleRequest(EntryName("a"), makeSlotRequest(1, 9), Instant(1s))
+          .empty());
 }
 
-BOOST_AUTO_TEST_CASE(ASchedulerThatTakesOverLearnsWhatIsHeld) {
+BOOST_AUTO_TEST_CASE(ANewSchedulerLearnsHeldSlotsFromRequests) {
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 2}});
-  SlotAsk Message = makeAsk(1, 2);
+  SlotAsk Message = makeSlotRequest(1, 2);
   Message.InUse = {{host(1), 1}};
   BOOST_TEST(slotsGrantedTo(
                  Scheduler.handleRequest(EntryName("a"), Message, Instant(1s)),
@@ -244,45 +247,46 @@
   BOOST_TEST(Scheduler.freeSlots() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ABurstLeavesTheReserveOfOtherPoolsOnTheSpare) {
+BOOST_AUTO_TEST_CASE(ABurstLeavesTheSparePoolReserveOfOtherPools) {
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 20}});
   SchedulerLimits Limits;
   Limits.SpillingPoolCount = 3;
   Scheduler.setLimits(Limits);
-  SlotAsk BurstMessage = makeAsk(1, 20);
+  SlotAsk BurstMessage = makeSlotRequest(1, 20);
   BurstMessage.For = PoolName("cut-plans");
   const auto BurstGrants =
       Scheduler.handleRequest(EntryName("a"), BurstMessage, Instant(1s));
   BOOST_TEST(slotsGrantedTo(BurstGrants, "a") == 18U);
-  SlotAsk OtherMessage = makeAsk(1, 1);
+  SlotAsk OtherMessage = makeSlotRequest(1, 1);
   OtherMessage.For = PoolName("stock");
   BOOST_TEST(slotsGrantedTo(Scheduler.handleRequest(EntryName("b"),
                                                     OtherMessage, Instant(1s)),
                             "b") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatTwoEntriesAvoidIsGrantedToNoneButAPartOnly) {
+BOOST_AUTO_TEST_CASE(HostsThatTwoEntriesAvoidAreExcludedUpToAThirdOfThePool) {
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 2}, {host(2), 2}, {host(3), 2}});
-  SlotAsk FirstMessage = makeAsk(1, 0);
+  SlotAsk FirstMessage = makeSlotRequest(1, 0);
   FirstMessage.Avoid = {host(1)};
   Scheduler.handleRequest(EntryName("a"), FirstMessage, Instant(1s));
   Scheduler.handleRequest(EntryName("b"), FirstMessage, Instant(1s));
   BOOST_TEST(slotsGrantedTo(Scheduler.handleRequest(EntryName("c"),
-                                                    makeAsk(1, 9), Instant(1s)),
+                                                    makeSlotRequest(1, 9),
+                                                    Instant(1s)),
                             "c") == 4U);
   // Two of three hosts are more than a third of the pool, so each entry avoids
   // only its own.
-  SlotAsk SecondMessage = makeAsk(2, 0);
+  SlotAsk SecondMessage = makeSlotRequest(2, 0);
   SecondMessage.Avoid = {host(1), host(2)};
   Scheduler.handleRequest(EntryName("a"), SecondMessage, Instant(1s));
-  const auto LaterGrants =
-      Scheduler.handleRequest(EntryName("d"), makeAsk(1, 9), Instant(1s));
+  const auto LaterGrants = Scheduler.handleRequest(
+      EntryName("d"), makeSlotRequest(1, 9), Instant(1s));
   BOOST_TEST(slotsGrantedTo(LaterGrants, "d") == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ALapsedGrantIsNeverUsed) {
+BOOST_AUTO_TEST_CASE(AnExpiredGrantIsNeverUsed) {
   SlotHolder Holder(Pool, Pool);
   Holder.setScheduler(EntryName("a"));
   SlotGrant Grant;
@@ -305,10 +309,10 @@
 BOOST_AUTO_TEST_CASE(EveryEntryFindsTheSameSchedulerWhateverTheOrder) {
   const std::vector<EntryName> LiveEntries{EntryName("a"), EntryName("b"),
                                            EntryName("c")};
-  const std::vector<EntryName> Rotated{LiveEntries[2], LiveEntries[0],
-                                       LiveEntries[1]};
-  BOOST_TEST(
-      (electScheduler(Pool, LiveEntries) == electScheduler(Pool, Rotated)));
+  const std::vector<EntryName> RotatedEntries{LiveEntries[2], LiveEntries[0],
+                                              LiveEntries[1]};
+  BOOST_TEST((electScheduler(Pool, LiveEntries) ==
+              electScheduler(Pool, RotatedEntries)));
   BOOST_TEST(electScheduler(Pool, {}).empty());
 }
 
