--- a/Source/Placement/Engine.cpp
+++ b/Source/Placement/Engine.cpp
@@ -120,7 +120,7 @@
 }
 
 void Engine::Impl::handleEvent(const EntriesChanged &E) {
-  LiveEntries = E.Live;
+  LiveEntries = E.LiveEntries;
   updateQuotas();
   updatePoolSizes();
   electSchedulers();
--- a/Source/Placement/EngineRequests.cpp
+++ b/Source/Placement/EngineRequests.cpp
@@ -79,29 +79,31 @@
 }
 
 void Engine::Impl::handleEvent(const RequestArrived &E) {
-  const JobRule *Rule = findJobRule(Rules.get(), E.Asked.Job);
-  if (joinOpenRequest(E.Asked) || refuseIfInadmissible(E.Asked, Rule)) {
+  const JobRule *Rule = findJobRule(Rules.get(), E.CallerRequest.Job);
+  if (joinOpenRequest(E.CallerRequest) ||
+      refuseIfInadmissible(E.CallerRequest, Rule)) {
     return;
   }
   const RequestKey Key(++LastKey);
   OpenRequest &Req = Requests[Key];
   Req.Key = Key;
-  Req.CallerRequest = E.Asked;
+  Req.CallerRequest = E.CallerRequest;
   Req.Rule = *Rule;
-  Req.Deadline = Now + E.Asked.TimeLeft.value_or(Rule->Deadline);
+  Req.Deadline = Now + E.CallerRequest.TimeLeft.value_or(Rule->Deadline);
   Req.IsJobProbe = Health.isEjected(Rule->Job);
-  RequestsById.emplace(E.Asked.Id, Key);
+  RequestsById.emplace(E.CallerRequest.Id, Key);
   Timers.emplace(Req.Deadline, Key);
-  if (Rule->Idempotent || E.Asked.IdempotencyKey.empty()) {
+  if (Rule->Idempotent || E.CallerRequest.IdempotencyKey.empty()) {
     enqueue(Req);
     return;
   }
-  RequestsByIdempotencyKey.emplace(scopedIdempotencyKey(E.Asked), Key);
-  RequestsByClaim.emplace(E.Asked.Id, Key);
-  Req.ClaimId = E.Asked.Id;
+  RequestsByIdempotencyKey.emplace(scopedIdempotencyKey(E.CallerRequest), Key);
+  RequestsByClaim.emplace(E.CallerRequest.Id, Key);
+  Req.ClaimId = E.CallerRequest.Id;
   Req.Phase = RequestPhase::Claiming;
-  Actions.push_back(ClaimKey{E.Asked.Id, scopedIdempotencyKey(E.Asked),
-                             E.Asked.BodyDigest, Req.Deadline - Now});
+  Actions.push_back(ClaimKey{E.CallerRequest.Id,
+                             scopedIdempotencyKey(E.CallerRequest),
+                             E.CallerRequest.BodyDigest, Req.Deadline - Now});
 }
 
 void Engine::Impl::enqueue(OpenRequest &Req) {
@@ -127,7 +129,8 @@
     enqueue(*Req);
     return;
   case ClaimResult::Taken:
-    finishRequest(Req->Key, Outcome::Unknown, Reason::ClaimTaken, {}, E.First);
+    finishRequest(Req->Key, Outcome::Unknown, Reason::ClaimTaken, {},
+                  E.PriorOutcome);
     return;
   case ClaimResult::OtherBody:
     finishRequest(Req->Key, Outcome::NotRun, Reason::KeyReused);
--- a/Source/Placement/EngineSlots.cpp
+++ b/Source/Placement/EngineSlots.cpp
@@ -81,10 +81,10 @@
   if (const auto *Message = std::get_if<SlotAsk>(&E.Message)) {
     const auto It = Schedulers.find(Message->Pool);
     if (It != Schedulers.end()) {
-      deliverGrants(It->second.handleRequest(E.From, *Message, Now));
+      deliverGrants(It->second.handleRequest(E.SenderEntry, *Message, Now));
     }
   } else if (const auto *Grant = std::get_if<SlotGrant>(&E.Message)) {
-    receiveGrant(E.From, *Grant);
+    receiveGrant(E.SenderEntry, *Grant);
   }
 }
 
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -103,7 +103,7 @@
 /// \name Events
 /// @{
 struct RequestArrived {
-  Request Asked;
+  Request CallerRequest;
 };
 /// The caller disconnected or asked to cancel.
 struct RequestCancelled {
@@ -130,7 +130,7 @@
 };
 /// The live entries, this one included.
 struct EntriesChanged {
-  std::vector<EntryName> Live;
+  std::vector<EntryName> LiveEntries;
 };
 
 /// Result of a claim on an idempotency key.
@@ -151,7 +151,7 @@
   /// With Won: no attempt may start from this instant on.
   Instant DispatchDeadline = Instant::max();
   /// With Taken: the outcome of the first request, if its entry recorded it.
-  std::optional<Outcome> First;
+  std::optional<Outcome> PriorOutcome;
 };
 
 /// A request for slots of one pool, sent to the engine of the entry that
@@ -212,7 +212,7 @@
 using SlotMessage = std::variant<SlotAsk, SlotGrant, SlotReturn>;
 
 struct SlotMessageArrived {
-  EntryName From;
+  EntryName SenderEntry;
   SlotMessage Message;
 };
 /// The current time advanced; sent every TickPeriod.
--- a/Tests/Placement/ClaimKeeperTest.cpp
+++ b/Tests/Placement/ClaimKeeperTest.cpp
@@ -176,7 +176,7 @@
   B.claim("b2", "not-run");
   B.runUntilSettled();
   BOOST_TEST((B.result("b1") == ClaimResult::Taken));
-  BOOST_TEST((B.Results.at("b1").First == Outcome::Answered));
+  BOOST_TEST((B.Results.at("b1").PriorOutcome == Outcome::Answered));
   BOOST_TEST((B.result("b2") == ClaimResult::Won));
 }
 
