--- a/Source/Placement/include/balsamlatch/Placement/SlotScheduler.h
+++ b/Source/Placement/include/balsamlatch/Placement/SlotScheduler.h
@@ -62,9 +62,10 @@
   void setEntries(const std::vector<EntryName> &LiveEntries);
 
   /// Returns the grants to send: at least one to the sender, and possibly some
-  /// to others. With \p IsDelta, InUse names only the hosts whose slot count
-  /// changed. Only the entry that runs the scheduler may use it, since no
-  /// message between the two is lost.
+  /// to others; none for a request that a later one of the sender overtook.
+  /// With \p IsDelta, InUse names only the hosts whose slot count changed. Only
+  /// the entry that runs the scheduler may use it, since no message between the
+  /// two is lost.
   Grants handleRequest(const EntryName &SenderEntry, const SlotAsk &Message,
                        Instant Now, bool IsDelta = false);
   /// Expires grants that no request confirmed, and drops silent entries. Call
