--- a/Source/Rules/Adoption.cpp
+++ b/Source/Rules/Adoption.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Adoption of the latest verified rules.
+/// Implements Adoption: verifies head and base documents from the store and
+/// from peers, and puts the latest verified rules in force.
 
 #include "balsamlatch/Rules/Adoption.h"
 
@@ -13,79 +14,84 @@
 
 namespace {
 
-constexpr std::string_view StoreName = "store";
+constexpr std::string_view StoreSender = "store";
 constexpr std::string_view InForceReason = "rules-in-force";
 constexpr std::string_view RefusedReason = "rules-refused";
 constexpr std::string_view BehindReason = "rules-behind";
 constexpr std::string_view RulesFileName = "rules";
-/// Heads of so many senders wait for their base document.
-constexpr std::size_t MaxWaiting = 8;
+/// Maximum number of heads that are kept while their base document is fetched.
+constexpr std::size_t MaxPendingHeads = 8;
 
-CallStore readOf(std::string_view Key) { return {StoreRead{std::string(Key)}}; }
+CallStore makeRead(std::string_view Key) {
+  return {StoreRead{std::string(Key)}};
+}
 
-const std::string *keyRead(const StoreRequest &Request) {
-  const auto *Read = std::get_if<StoreRead>(&Request);
-  return Read != nullptr ? &Read->Key : nullptr;
+const std::string *requestedKey(const StoreRequest &Request) {
+  const auto *ReadRequest = std::get_if<StoreRead>(&Request);
+  return ReadRequest != nullptr ? &ReadRequest->Key : nullptr;
 }
 
 } // namespace
 
 Adoption::Adoption(AdoptionOptions Settings)
-    : Options(std::move(Settings)), Pause(Options.RetryPause) {}
+    : Options(std::move(Settings)), RetryDelay(Options.RetryPause) {}
 
 std::vector<AdoptionAction> Adoption::start(Instant Now) {
-  NextHeadAt = Now + pause();
-  return {readOf(HeadKey)};
+  NextHeadReadTime = Now + nextRetryDelay();
+  return {makeRead(HeadKey)};
 }
 
 std::vector<AdoptionAction> Adoption::handle(const AdoptionEvent &Event,
                                              Instant Now) {
-  Actions Out;
-  std::visit([&](const auto &E) { on(E, Now, Out); }, Event);
-  return Out;
+  Actions NewActions;
+  std::visit([&](const auto &E) { process(E, Now, NewActions); }, Event);
+  return NewActions;
 }
 
 std::string Adoption::baseDocument() const {
   return Base ? printBase(Base->base()) : std::string();
 }
 
-void Adoption::refuse(const std::string &From, RulesVersion Version,
-                      const absl::Status &Why, Actions &Out) const {
-  Out.push_back(AdoptionReport{LogLevel::Warning, std::string(RefusedReason),
-                               From, Version, std::string(Why.message())});
+void Adoption::reportRefusal(const std::string &From, RulesVersion Version,
+                             const absl::Status &Error,
+                             Actions &NewActions) const {
+  NewActions.push_back(AdoptionReport{LogLevel::Warning,
+                                      std::string(RefusedReason), From, Version,
+                                      std::string(Error.message())});
 }
 
-void Adoption::on(const HeadSeen &Seen, Instant Now, Actions &Out) {
-  absl::StatusOr<HeadDocument> Head = parseHead(Seen.Text);
+void Adoption::process(const HeadSeen &Event, Instant Now,
+                       Actions &NewActions) {
+  absl::StatusOr<HeadDocument> Head = parseHead(Event.Text);
   if (!Head.ok()) {
-    refuse(Seen.From, RulesVersion(), Head.status(), Out);
+    reportRefusal(Event.From, RulesVersion(), Head.status(), NewActions);
     return;
   }
   const RulesVersion Version = Head->version();
   if (State && Version <= State->version()) {
-    behind(Seen, *Head, Out);
+    reportStaleHead(Event, *Head, NewActions);
     return;
   }
   if (State && State->version() >= Head->Base) {
-    absl::StatusOr<ChainState> Next = followHead(*Head, *State);
-    if (!Next.ok()) {
-      refuse(Seen.From, Version, Next.status(), Out);
+    absl::StatusOr<ChainState> NextState = followHead(*Head, *State);
+    if (!NextState.ok()) {
+      reportRefusal(Event.From, Version, NextState.status(), NewActions);
       return;
     }
-    follow(Seen, *Head, *std::move(Next), Out);
+    applyHead(Event, *Head, *std::move(NextState), NewActions);
     return;
   }
-  await(Seen, *std::move(Head));
-  if (Now >= NextBaseAt) {
-    wantBase(Now, Out);
+  queueHead(Event, *std::move(Head));
+  if (Now >= NextBaseReadTime) {
+    requestBase(Now, NewActions);
   }
 }
 
-void Adoption::behind(const HeadSeen &Seen, const HeadDocument &Head,
-                      Actions &Out) const {
+void Adoption::reportStaleHead(const HeadSeen &Event, const HeadDocument &Head,
+                               Actions &NewActions) const {
   const RulesVersion Version = Head.version();
   std::string Message;
-  if (Version < State->version() && Seen.From == StoreName) {
+  if (Version < State->version() && Event.From == StoreSender) {
     Message = fmt::format("the store has an older version than {}, which stays "
                           "in force",
                           State->version().Value);
@@ -94,112 +100,119 @@
     Message = "another history of the version in force";
   }
   if (!Message.empty()) {
-    Out.push_back(AdoptionReport{LogLevel::Warning, std::string(BehindReason),
-                                 Seen.From, Version, std::move(Message)});
+    NewActions.push_back(AdoptionReport{LogLevel::Warning,
+                                        std::string(BehindReason), Event.From,
+                                        Version, std::move(Message)});
   }
 }
 
-void Adoption::await(const HeadSeen &Seen, HeadDocument Head) {
-  std::erase_if(Waiting,
-                [&](const Pending &P) { return P.Seen.From == Seen.From; });
-  if (Waiting.size() >= MaxWaiting) {
-    Waiting.erase(Waiting.begin());
+void Adoption::queueHead(const HeadSeen &Event, HeadDocument Head) {
+  std::erase_if(PendingHeads, [&](const PendingHead &P) {
+    return P.Event.From == Event.From;
+  });
+  if (PendingHeads.size() >= MaxPendingHeads) {
+    PendingHeads.erase(PendingHeads.begin());
   }
-  Waiting.push_back({Seen, std::move(Head)});
+  PendingHeads.push_back({Event, std::move(Head)});
 }
 
-void Adoption::on(const BaseSeen &Seen, Instant, Actions &Out) {
-  if (Waiting.empty()) {
+void Adoption::process(const BaseSeen &Event, Instant, Actions &NewActions) {
+  if (PendingHeads.empty()) {
     return;
   }
-  const absl::StatusOr<BaseDocument> Document = parseBase(Seen.Text);
+  const absl::StatusOr<BaseDocument> Document = parseBase(Event.Text);
   if (!Document.ok()) {
-    refuse(Seen.From, RulesVersion(), Document.status(), Out);
-    Out.push_back(PullBase{});
+    reportRefusal(Event.From, RulesVersion(), Document.status(), NewActions);
+    NewActions.push_back(PullBase{});
     return;
   }
-  // The highest version that verifies wins; a forged head must not keep a
-  // true one from being tried.
-  std::stable_sort(Waiting.begin(), Waiting.end(),
-                   [](const Pending &A, const Pending &B) {
+  // Tries every head, the highest version first, so that a forged head with a
+  // high version cannot block a genuine one.
+  std::stable_sort(PendingHeads.begin(), PendingHeads.end(),
+                   [](const PendingHead &A, const PendingHead &B) {
                      return A.Head.version() > B.Head.version();
                    });
-  for (auto Candidate = Waiting.begin(); Candidate != Waiting.end();) {
-    const absl::Status Tried = tryBase(*Candidate, *Document, Out);
-    if (Tried.ok()) {
-      Waiting.clear();
-      Pause = Options.RetryPause;
+  for (auto Candidate = PendingHeads.begin();
+       Candidate != PendingHeads.end();) {
+    const absl::Status Result =
+        adoptWithBase(*Candidate, *Document, NewActions);
+    if (Result.ok()) {
+      PendingHeads.clear();
+      RetryDelay = Options.RetryPause;
       return;
     }
-    if (absl::IsOutOfRange(Tried)) {
+    if (absl::IsOutOfRange(Result)) {
       ++Candidate;
       continue;
     }
-    refuse(Candidate->Seen.From, Candidate->Head.version(), Tried, Out);
-    Candidate = Waiting.erase(Candidate);
+    reportRefusal(Candidate->Event.From, Candidate->Head.version(), Result,
+                  NewActions);
+    Candidate = PendingHeads.erase(Candidate);
   }
-  if (!Waiting.empty()) {
-    // The head has moved on since it was seen, or the base is an old one.
-    Out.push_back(readOf(HeadKey));
+  if (!PendingHeads.empty()) {
+    // The base doesn't fit the remaining heads: one of the two is outdated.
+    NewActions.push_back(makeRead(HeadKey));
   }
-  Out.push_back(PullBase{});
+  NewActions.push_back(PullBase{});
 }
 
-void Adoption::follow(const HeadSeen &Seen, const HeadDocument &Head,
-                      ChainState Next, Actions &Out) {
+void Adoption::applyHead(const HeadSeen &Event, const HeadDocument &Head,
+                         ChainState NextState, Actions &NewActions) {
   const RulesVersion Version = Head.version();
   std::optional<ChainState> OldBase = Base;
   advanceBase(Head);
-  const absl::Status Adopted = adopt(Seen, Head, std::move(Next), Out);
-  if (!Adopted.ok()) {
+  const absl::Status Result =
+      adopt(Event, Head, std::move(NextState), NewActions);
+  if (!Result.ok()) {
     Base = std::move(OldBase);
-    refuse(Seen.From, Version, Adopted, Out);
+    reportRefusal(Event.From, Version, Result, NewActions);
   }
 }
 
-absl::Status Adoption::tryBase(const Pending &Candidate,
-                               const BaseDocument &Document, Actions &Out) {
+absl::Status Adoption::adoptWithBase(const PendingHead &Candidate,
+                                     const BaseDocument &Document,
+                                     Actions &NewActions) {
   const OwnerKeys &Trusted = State ? State->owners() : Options.Trusted;
-  absl::StatusOr<ChainState> Next =
+  absl::StatusOr<ChainState> NextState =
       verifyHead(Candidate.Head, Document, Trusted);
-  if (!Next.ok()) {
-    return Next.status();
+  if (!NextState.ok()) {
+    return NextState.status();
   }
-  absl::StatusOr<ChainState> Start = ChainState::fromBase(Document);
-  if (!Start.ok()) {
-    return Start.status();
+  absl::StatusOr<ChainState> BaseState = ChainState::fromBase(Document);
+  if (!BaseState.ok()) {
+    return BaseState.status();
   }
-  absl::Status Adopted =
-      adopt(Candidate.Seen, Candidate.Head, *std::move(Next), Out);
-  if (Adopted.ok()) {
-    Base = *std::move(Start);
+  absl::Status Result =
+      adopt(Candidate.Event, Candidate.Head, *std::move(NextState), NewActions);
+  if (Result.ok()) {
+    Base = *std::move(BaseState);
   }
-  return Adopted;
+  return Result;
 }
 
-absl::Status Adoption::adopt(const HeadSeen &Seen, const HeadDocument &Head,
-                             ChainState Next, Actions &Out) {
-  if (Next.version() < Options.Lowest) {
+absl::Status Adoption::adopt(const HeadSeen &Event, const HeadDocument &Head,
+                             ChainState NextState, Actions &NewActions) {
+  if (NextState.version() < Options.Lowest) {
     return absl::FailedPreconditionError(
         fmt::format("version {} is below the lowest allowed, {}",
-                    Next.version().Value, Options.Lowest.Value));
+                    NextState.version().Value, Options.Lowest.Value));
   }
-  if (State && Next.version() <= State->version()) {
+  if (State && NextState.version() <= State->version()) {
     return absl::FailedPreconditionError("the version in force is later");
   }
-  ParsedRules Parsed = parseRules(RulesFileName, Next.text());
+  ParsedRules Parsed = parseRules(RulesFileName, NextState.text());
   if (Parsed.Problems.hasErrors()) {
     return absl::InvalidArgumentError(Parsed.Problems.render());
   }
-  Parsed.Rules.Version = Next.version();
+  Parsed.Rules.Version = NextState.version();
   Rules = std::make_shared<const RuleSet>(std::move(Parsed.Rules));
-  State = std::move(Next);
+  State = std::move(NextState);
   LastHead = Head;
-  Out.push_back(RulesInForce{Rules});
-  Out.push_back(HeadInForce{Seen.StoreVersion, Seen.Text});
-  Out.push_back(AdoptionReport{LogLevel::Info, std::string(InForceReason),
-                               Seen.From, State->version(),
-                               toHex(State->chain())});
+  NewActions.push_back(RulesInForce{Rules});
+  NewActions.push_back(HeadInForce{Event.StoreVersion, Event.Text});
+  NewActions.push_back(AdoptionReport{LogLevel::Info,
+                                      std::string(InForceReason), Event.From,
+                                      State->version(), toHex(State->chain())});
   return absl::OkStatus();
 }
 
@@ -207,53 +220,55 @@
   if (!Base || NextHead.Base <= Base->version()) {
     return;
   }
-  HeadDocument Older = LastHead;
-  std::erase_if(Older.Changes, [&](const LandedChange &Landed) {
-    return Landed.Version > NextHead.Base;
+  HeadDocument PreviousHead = LastHead;
+  std::erase_if(PreviousHead.Changes, [&](const LandedChange &Entry) {
+    return Entry.Version > NextHead.Base;
   });
-  absl::StatusOr<ChainState> Moved = followHead(Older, *Base);
-  if (Moved.ok()) {
-    Base = *std::move(Moved);
+  absl::StatusOr<ChainState> NewBase = followHead(PreviousHead, *Base);
+  if (NewBase.ok()) {
+    Base = *std::move(NewBase);
   }
 }
 
-void Adoption::on(const StoreReplied &Replied, Instant Now, Actions &Out) {
-  const std::string *Key = keyRead(Replied.Request);
+void Adoption::process(const StoreReplied &Event, Instant Now,
+                       Actions &NewActions) {
+  const std::string *Key = requestedKey(Event.Request);
   if (Key == nullptr) {
     return;
   }
-  if (!Replied.Reply.Status.ok() || !Replied.Reply.Entry.present()) {
+  if (!Event.Reply.Status.ok() || !Event.Reply.Entry.present()) {
     if (*Key == BaseKey) {
-      Out.push_back(PullBase{});
+      NewActions.push_back(PullBase{});
     }
     return;
   }
-  const StoreEntry &Entry = Replied.Reply.Entry;
+  const StoreEntry &Entry = Event.Reply.Entry;
   if (*Key == HeadKey) {
-    on(HeadSeen{std::string(StoreName), Entry.Version, Entry.Value}, Now, Out);
+    process(HeadSeen{std::string(StoreSender), Entry.Version, Entry.Value}, Now,
+            NewActions);
   } else if (*Key == BaseKey) {
-    on(BaseSeen{std::string(StoreName), Entry.Value}, Now, Out);
+    process(BaseSeen{std::string(StoreSender), Entry.Value}, Now, NewActions);
   }
 }
 
-void Adoption::on(const AdoptionTick &, Instant Now, Actions &Out) {
-  if (!Waiting.empty() && Now >= NextBaseAt) {
-    wantBase(Now, Out);
-  } else if (Waiting.empty() && !State && Now >= NextHeadAt) {
-    Out.push_back(readOf(HeadKey));
-    NextHeadAt = Now + pause();
+void Adoption::process(const AdoptionTick &, Instant Now, Actions &NewActions) {
+  if (!PendingHeads.empty() && Now >= NextBaseReadTime) {
+    requestBase(Now, NewActions);
+  } else if (PendingHeads.empty() && !State && Now >= NextHeadReadTime) {
+    NewActions.push_back(makeRead(HeadKey));
+    NextHeadReadTime = Now + nextRetryDelay();
   }
 }
 
-void Adoption::wantBase(Instant Now, Actions &Out) {
-  Out.push_back(readOf(BaseKey));
-  NextBaseAt = Now + pause();
+void Adoption::requestBase(Instant Now, Actions &NewActions) {
+  NewActions.push_back(makeRead(BaseKey));
+  NextBaseReadTime = Now + nextRetryDelay();
 }
 
-Duration Adoption::pause() {
-  const Duration Present = Pause;
-  Pause = std::min(2 * Pause, Options.MostRetryPause);
-  return Present;
+Duration Adoption::nextRetryDelay() {
+  const Duration Current = RetryDelay;
+  RetryDelay = std::min(2 * RetryDelay, Options.MaxRetryPause);
+  return Current;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/Canonical.h
+++ b/Source/Rules/CanonicalEncoder.h
@@ -1,8 +1,8 @@
 /// \file
-/// An unambiguous byte form of records, for digests and signatures.
+/// Canonical binary encoding of records, as input of hashes and signatures.
 
-#ifndef BALSAMLATCH_RULES_CANONICAL_H
-#define BALSAMLATCH_RULES_CANONICAL_H
+#ifndef BALSAMLATCH_RULES_CANONICALENCODER_H
+#define BALSAMLATCH_RULES_CANONICALENCODER_H
 
 #include "balsamlatch/Rules/Keys.h"
 
@@ -13,22 +13,23 @@
 
 namespace balsamlatch {
 
-/// Collects fields, each with its length in front. The purpose keeps records
-/// of different kinds apart.
-class Canonical {
+/// Encodes fields: numbers as 64 bits big-endian, strings with their length in
+/// front. The purpose string comes first, so that encodings of different record
+/// types never coincide (domain separation).
+class CanonicalEncoder {
 public:
-  explicit Canonical(std::string_view Purpose) { add(Purpose); }
+  explicit CanonicalEncoder(std::string_view Purpose) { add(Purpose); }
 
   void add(std::uint64_t Value) {
     constexpr int TopShift = 56;
     constexpr int ByteBits = 8;
     for (int Shift = TopShift; Shift >= 0; Shift -= ByteBits) {
-      Text += static_cast<char>(Value >> static_cast<unsigned>(Shift));
+      Encoded += static_cast<char>(Value >> static_cast<unsigned>(Shift));
     }
   }
   void add(std::string_view Field) {
     add(static_cast<std::uint64_t>(Field.size()));
-    Text += Field;
+    Encoded += Field;
   }
   void add(const std::vector<std::string> &Fields) {
     add(static_cast<std::uint64_t>(Fields.size()));
@@ -42,13 +43,13 @@
                          Size));
   }
 
-  const std::string &text() const { return Text; }
-  Digest digest() const { return sha256(Text); }
+  const std::string &bytes() const { return Encoded; }
+  Digest digest() const { return sha256(Encoded); }
 
 private:
-  std::string Text;
+  std::string Encoded;
 };
 
 } // namespace balsamlatch
 
-#endif // BALSAMLATCH_RULES_CANONICAL_H
+#endif // BALSAMLATCH_RULES_CANONICALENCODER_H
--- a/Source/Rules/Chain.cpp
+++ b/Source/Rules/Chain.cpp
@@ -1,9 +1,10 @@
 /// \file
-/// One version follows from another: bases, edits and signatures.
+/// Implements ChainState: verifies a change against a version of the rules and
+/// derives the next version.
 
 #include "balsamlatch/Rules/Chain.h"
 
-#include "Canonical.h"
+#include "CanonicalEncoder.h"
 #include "ChainSignatures.h"
 #include "LineReader.h"
 #include "TextLines.h"
@@ -16,21 +17,22 @@
 
 namespace {
 
-constexpr std::string_view OwnerWord = "owner";
-constexpr std::size_t OwnerLineWords = 4;
-constexpr std::size_t OwnerKeyWord = 3;
+constexpr std::string_view OwnerKeyword = "owner";
+constexpr std::size_t OwnerLineWordCount = 4;
+constexpr std::size_t OwnerKeyWordIndex = 3;
 
-bool onlyWholeLines(const std::vector<LineEdit> &Edits) {
-  const auto Whole = [](const std::string &Line) {
+/// Whether no line of the edits contains a line break.
+bool haveSingleLines(const std::vector<LineEdit> &Edits) {
+  const auto IsSingleLine = [](const std::string &Line) {
     return Line.find('\n') == std::string::npos;
   };
   return std::all_of(Edits.begin(), Edits.end(), [&](const LineEdit &Edit) {
-    return std::all_of(Edit.Old.begin(), Edit.Old.end(), Whole) &&
-           std::all_of(Edit.New.begin(), Edit.New.end(), Whole);
+    return std::all_of(Edit.Old.begin(), Edit.Old.end(), IsSingleLine) &&
+           std::all_of(Edit.New.begin(), Edit.New.end(), IsSingleLine);
   });
 }
 
-absl::Status conflictStatus(const std::vector<EditConflict> &Conflicts) {
+absl::Status makeConflictError(const std::vector<EditConflict> &Conflicts) {
   std::vector<std::string> Messages;
   Messages.reserve(Conflicts.size());
   for (const EditConflict &Conflict : Conflicts) {
@@ -41,34 +43,34 @@
 
 } // namespace
 
-Digest genesisChain(const Genesis &First) {
-  Canonical Fields("balsamlatch genesis 1");
-  Fields.add(First.Version.Value);
-  Fields.add(First.TextHash);
-  Fields.add(First.Nonce);
-  return Fields.digest();
+Digest genesisChainHash(const Genesis &FirstVersion) {
+  CanonicalEncoder Encoder("balsamlatch genesis 1");
+  Encoder.add(FirstVersion.Version.Value);
+  Encoder.add(FirstVersion.TextHash);
+  Encoder.add(FirstVersion.Nonce);
+  return Encoder.digest();
 }
 
-Digest nextChain(const Digest &Previous, RulesVersion Version,
-                 const ChainStep &Step) {
-  Canonical Fields("balsamlatch version 1");
-  Fields.add(Previous);
-  Fields.add(Version.Value);
-  Fields.add(Step.Change);
-  Fields.add(Step.TextHash);
-  return Fields.digest();
+Digest nextChainHash(const Digest &Previous, RulesVersion Version,
+                     const ChainStep &Step) {
+  CanonicalEncoder Encoder("balsamlatch version 1");
+  Encoder.add(Previous);
+  Encoder.add(Version.Value);
+  Encoder.add(Step.Change);
+  Encoder.add(Step.TextHash);
+  return Encoder.digest();
 }
 
-std::string genesisMessage(const Genesis &First) {
-  Canonical Message("balsamlatch genesis approval 1");
-  Message.add(genesisChain(First));
-  return Message.text();
+std::string genesisMessage(const Genesis &FirstVersion) {
+  CanonicalEncoder Encoder("balsamlatch genesis approval 1");
+  Encoder.add(genesisChainHash(FirstVersion));
+  return Encoder.bytes();
 }
 
 std::string landingMessage(const Digest &Chain) {
-  Canonical Message("balsamlatch landing 1");
-  Message.add(Chain);
-  return Message.text();
+  CanonicalEncoder Encoder("balsamlatch landing 1");
+  Encoder.add(Chain);
+  return Encoder.bytes();
 }
 
 OwnerKeys ownerKeys(const PublicKey &A, const PublicKey &B) {
@@ -76,51 +78,54 @@
 }
 
 absl::StatusOr<OwnerKeys> ownersOf(std::string_view Text) {
-  std::vector<PublicKey> Keys;
+  std::vector<PublicKey> OwnerLineKeys;
   for (const std::string_view Line : splitLines(Text)) {
-    // Cheap test first: texts are long, owner lines are two.
-    if (Line.find(OwnerWord) == std::string_view::npos) {
+    // Skips most lines without tokenizing them: only two are owner lines.
+    if (Line.find(OwnerKeyword) == std::string_view::npos) {
       continue;
     }
-    const RuleLine Split = splitRuleLine(Line, 0);
-    if (Split.Words.empty() || Split.Words.front().Text != OwnerWord) {
+    const RuleLine Tokens = tokenizeRuleLine(Line, 0);
+    if (Tokens.Words.empty() || Tokens.Words.front().Text != OwnerKeyword) {
       continue;
     }
     const absl::StatusOr<PublicKey> Key =
-        Split.Words.size() == OwnerLineWords
-            ? parseHex<PublicKey>(Split.Words[OwnerKeyWord].Text)
+        Tokens.Words.size() == OwnerLineWordCount
+            ? parseHex<PublicKey>(Tokens.Words[OwnerKeyWordIndex].Text)
             : absl::InvalidArgumentError("");
     if (!Key.ok()) {
       return absl::FailedPreconditionError(
-          fmt::format("a faulty owner line: {}", Line));
+          fmt::format("malformed owner line: {}", Line));
     }
-    Keys.push_back(*Key);
+    OwnerLineKeys.push_back(*Key);
   }
-  if (Keys.size() != 2 || Keys[0] == Keys[1]) {
+  if (OwnerLineKeys.size() != 2 || OwnerLineKeys[0] == OwnerLineKeys[1]) {
     return absl::FailedPreconditionError(
         "the text doesn't name two co-owners with different keys");
   }
-  return ownerKeys(Keys[0], Keys[1]);
+  return ownerKeys(OwnerLineKeys[0], OwnerLineKeys[1]);
 }
 
-absl::StatusOr<ChainState> ChainState::first(const Genesis &First,
+absl::StatusOr<ChainState> ChainState::first(const Genesis &FirstVersion,
                                              std::string Text) {
   const absl::StatusOr<OwnerKeys> Owners = ownersOf(Text);
   if (!Owners.ok()) {
     return Owners.status();
   }
-  if (sha256(Text) != First.TextHash || First.Version == RulesVersion()) {
-    return absl::DataLossError("the first version's text isn't its own");
+  if (sha256(Text) != FirstVersion.TextHash ||
+      FirstVersion.Version == RulesVersion()) {
+    return absl::DataLossError(
+        "the first version's number or text hash is wrong");
   }
   for (const PublicKey &Key : *Owners) {
-    if (!signedBy(First.Approvals, Key, genesisMessage(First))) {
+    if (!hasValidSignature(FirstVersion.Approvals, Key,
+                           genesisMessage(FirstVersion))) {
       return absl::PermissionDeniedError(fmt::format(
-          "the first version lacks the signature of {}", shortKey(Key)));
+          "the first version lacks the signature of {}", abbreviateKey(Key)));
     }
   }
   ChainState State;
-  State.Version = First.Version;
-  State.Chain = genesisChain(First);
+  State.Version = FirstVersion.Version;
+  State.Chain = genesisChainHash(FirstVersion);
   State.StartChain = State.Chain;
   State.Text = std::move(Text);
   State.Owners = *Owners;
@@ -131,147 +136,165 @@
   return Window.empty() ? sha256(Text) : Window.back().Step.TextHash;
 }
 
-std::optional<Digest> ChainState::textHashAt(RulesVersion At) const {
-  if (At > Version || Version.Value - At.Value >= Window.size()) {
+std::optional<Digest>
+ChainState::textHashAt(RulesVersion QueriedVersion) const {
+  if (QueriedVersion > Version ||
+      Version.Value - QueriedVersion.Value >= Window.size()) {
     return std::nullopt;
   }
-  return Window[Window.size() - 1 - (Version.Value - At.Value)].Step.TextHash;
+  return Window[Window.size() - 1 - (Version.Value - QueriedVersion.Value)]
+      .Step.TextHash;
 }
 
 bool ChainState::contains(const Digest &Change) const {
-  return std::any_of(Window.begin(), Window.end(),
-                     [&](const Past &P) { return P.Step.Change == Change; });
+  return std::any_of(Window.begin(), Window.end(), [&](const WindowEntry &P) {
+    return P.Step.Change == Change;
+  });
 }
 
-const Digest *ChainState::chainAt(RulesVersion At) const {
-  if (At > Version || Version.Value - At.Value > Window.size()) {
+const Digest *ChainState::chainHashAt(RulesVersion QueriedVersion) const {
+  if (QueriedVersion > Version ||
+      Version.Value - QueriedVersion.Value > Window.size()) {
     return nullptr;
   }
-  const std::size_t Index = Window.size() - (Version.Value - At.Value);
+  const std::size_t Index =
+      Window.size() - (Version.Value - QueriedVersion.Value);
   return Index == 0 ? &StartChain : &Window[Index - 1].Chain;
 }
 
-absl::Status ChainState::checkBase(const Change &Subject) const {
-  if (Subject.Edits.empty() || !onlyWholeLines(Subject.Edits)) {
-    return absl::InvalidArgumentError("the change has no usable edits");
+absl::Status ChainState::checkBase(const Change &Proposal) const {
+  if (Proposal.Edits.empty() || !haveSingleLines(Proposal.Edits)) {
+    return absl::InvalidArgumentError(
+        "the change has no edits, or an edited line contains a line break");
   }
-  if (contains(changeDigest(Subject))) {
+  if (contains(changeDigest(Proposal))) {
     return absl::AlreadyExistsError("the change has landed before");
   }
-  if (Subject.Base > Version) {
+  if (Proposal.Base > Version) {
     return absl::FailedPreconditionError(
         fmt::format("the change is based on version {}, after version {}",
-                    Subject.Base.Value, Version.Value));
+                    Proposal.Base.Value, Version.Value));
   }
-  const Digest *Base = chainAt(Subject.Base);
-  if (Base == nullptr || Version.Value - Subject.Base.Value >= MaxBaseAge) {
+  const Digest *BaseChain = chainHashAt(Proposal.Base);
+  if (BaseChain == nullptr ||
+      Version.Value - Proposal.Base.Value >= MaxBaseAge) {
     return absl::FailedPreconditionError(
         fmt::format("the change is based on version {}, more than {} versions "
                     "ago; propose it again",
-                    Subject.Base.Value, MaxBaseAge));
+                    Proposal.Base.Value, MaxBaseAge));
   }
-  if (*Base != Subject.BaseChain) {
+  if (*BaseChain != Proposal.BaseChain) {
     return absl::FailedPreconditionError(
         fmt::format("the change is based on another history of version {}",
-                    Subject.Base.Value));
+                    Proposal.Base.Value));
   }
   return absl::OkStatus();
 }
 
-absl::Status ChainState::checkApprovals(const SignedChange &Subject,
-                                        const OwnerKeys &After) const {
-  for (const PublicKey &Key : requiredKeys(Owners, After)) {
-    if (!approvedBy(Subject, Key)) {
+absl::Status ChainState::checkApprovals(const SignedChange &Proposal,
+                                        const OwnerKeys &NewOwners) const {
+  for (const PublicKey &Key : requiredSigners(Owners, NewOwners)) {
+    if (!approvedBy(Proposal, Key)) {
       return absl::PermissionDeniedError(fmt::format(
-          "the change lacks a valid signature of {}", shortKey(Key)));
+          "the change lacks a valid signature of {}", abbreviateKey(Key)));
     }
   }
   return absl::OkStatus();
 }
 
 absl::StatusOr<ChainState>
-ChainState::follow(const SignedChange &Subject) const {
-  const absl::Status Base = checkBase(Subject.Content);
-  if (!Base.ok()) {
-    return Base;
+ChainState::applyWithoutSignatures(const SignedChange &Proposal) const {
+  const absl::Status BaseStatus = checkBase(Proposal.Content);
+  if (!BaseStatus.ok()) {
+    return BaseStatus;
   }
-  EditResult Edited = applyEdits(Text, Subject.Content.Edits);
-  if (!Edited.Conflicts.empty()) {
-    return conflictStatus(Edited.Conflicts);
+  EditResult Result = applyEdits(Text, Proposal.Content.Edits);
+  if (!Result.Conflicts.empty()) {
+    return makeConflictError(Result.Conflicts);
   }
-  const absl::StatusOr<OwnerKeys> After = ownersOf(Edited.Text);
-  if (!After.ok()) {
-    return After.status();
+  const absl::StatusOr<OwnerKeys> NewOwners = ownersOf(Result.Text);
+  if (!NewOwners.ok()) {
+    return NewOwners.status();
   }
-  const std::vector<PublicKey> &Named = Subject.Content.NewOwners;
-  const bool KeysChange = *After != Owners;
-  if (KeysChange && Subject.Content.Base != Version) {
+  const std::vector<PublicKey> &DeclaredOwners = Proposal.Content.NewOwners;
+  const bool KeysChange = *NewOwners != Owners;
+  if (KeysChange && Proposal.Content.Base != Version) {
     return absl::FailedPreconditionError(
         "a change of keys must be based on the latest version");
   }
-  if (KeysChange ? Named.size() != 2 || ownerKeys(Named[0], Named[1]) != *After
-                 : !Named.empty()) {
+  if (KeysChange
+          ? DeclaredOwners.size() != 2 ||
+                ownerKeys(DeclaredOwners[0], DeclaredOwners[1]) != *NewOwners
+          : !DeclaredOwners.empty()) {
     return absl::FailedPreconditionError(
-        "the change doesn't name the owners' keys that it leads to");
+        "the owner keys that the change declares don't match its text");
   }
-  ChainState Next = *this;
-  Next.Version = RulesVersion(Version.Value + 1);
-  Next.Text = std::move(Edited.Text);
-  Next.Owners = *After;
-  const ChainStep Step{changeDigest(Subject.Content), sha256(Next.Text)};
-  Next.Chain = nextChain(Chain, Next.Version, Step);
-  Next.Window.push_back({Step, Next.Chain});
-  if (Next.Window.size() > MaxBaseAge) {
-    Next.StartChain = Next.Window.front().Chain;
-    Next.Window.pop_front();
+  ChainState NextState = *this;
+  NextState.Version = RulesVersion(Version.Value + 1);
+  NextState.Text = std::move(Result.Text);
+  NextState.Owners = *NewOwners;
+  const ChainStep Step{changeDigest(Proposal.Content), sha256(NextState.Text)};
+  NextState.Chain = nextChainHash(Chain, NextState.Version, Step);
+  NextState.Window.push_back({Step, NextState.Chain});
+  if (NextState.Window.size() > MaxBaseAge) {
+    NextState.StartChain = NextState.Window.front().Chain;
+    NextState.Window.pop_front();
   }
-  return Next;
+  return NextState;
 }
 
-absl::StatusOr<OwnerKeys> ChainState::ownersAfter(const Change &Subject) const {
-  const absl::StatusOr<ChainState> Next = follow({Subject, {}});
-  return Next.ok() ? absl::StatusOr<OwnerKeys>(Next->owners()) : Next.status();
+absl::StatusOr<OwnerKeys>
+ChainState::ownersAfter(const Change &Proposal) const {
+  const absl::StatusOr<ChainState> NextState =
+      applyWithoutSignatures({Proposal, {}});
+  return NextState.ok() ? absl::StatusOr<OwnerKeys>(NextState->owners())
+                        : NextState.status();
 }
 
-absl::StatusOr<ChainState> ChainState::land(const SignedChange &Subject) const {
-  absl::StatusOr<ChainState> Next = follow(Subject);
-  if (Next.ok()) {
-    const absl::Status Approved = checkApprovals(Subject, Next->Owners);
-    if (!Approved.ok()) {
-      return Approved;
+absl::StatusOr<ChainState>
+ChainState::land(const SignedChange &Proposal) const {
+  absl::StatusOr<ChainState> NextState = applyWithoutSignatures(Proposal);
+  if (NextState.ok()) {
+    const absl::Status ApprovalStatus =
+        checkApprovals(Proposal, NextState->Owners);
+    if (!ApprovalStatus.ok()) {
+      return ApprovalStatus;
     }
   }
-  return Next;
+  return NextState;
 }
 
-absl::StatusOr<ChainState> ChainState::next(const LandedChange &Landed) const {
-  if (Landed.Version.Value != Version.Value + 1) {
+absl::StatusOr<ChainState> ChainState::next(const LandedChange &Entry) const {
+  if (Entry.Version.Value != Version.Value + 1) {
     return absl::FailedPreconditionError(
-        fmt::format("version {} doesn't follow version {}",
-                    Landed.Version.Value, Version.Value));
+        fmt::format("version {} doesn't follow version {}", Entry.Version.Value,
+                    Version.Value));
   }
-  absl::StatusOr<ChainState> Next = land(Landed.Subject);
-  if (!Next.ok()) {
-    return Next;
+  absl::StatusOr<ChainState> NextState = land(Entry.Subject);
+  if (!NextState.ok()) {
+    return NextState;
   }
-  if (Next->textHash() != Landed.TextHash) {
-    return absl::DataLossError(fmt::format(
-        "version {} has another text than was signed", Landed.Version.Value));
+  if (NextState->textHash() != Entry.TextHash) {
+    return absl::DataLossError(
+        fmt::format("the text of version {} doesn't match its signed hash",
+                    Entry.Version.Value));
   }
-  const std::vector<PublicKey> Keys = requiredKeys(Owners, Next->Owners);
-  if (std::find(Keys.begin(), Keys.end(), Landed.Landing.Key) == Keys.end() ||
-      !verifySignature(Landed.Landing.Key, landingMessage(Next->Chain),
-                       Landed.Landing.Signed)) {
+  const std::vector<PublicKey> RequiredKeys =
+      requiredSigners(Owners, NextState->Owners);
+  if (std::find(RequiredKeys.begin(), RequiredKeys.end(), Entry.Landing.Key) ==
+          RequiredKeys.end() ||
+      !verifySignature(Entry.Landing.Key, landingMessage(NextState->Chain),
+                       Entry.Landing.Signed)) {
     return absl::PermissionDeniedError(
         fmt::format("version {} was landed without an owner's valid signature",
-                    Landed.Version.Value));
+                    Entry.Version.Value));
   }
-  return Next;
+  return NextState;
 }
 
 BaseDocument ChainState::base() const {
   BaseDocument Base{Version, Text, StartChain, {}};
-  for (const Past &P : Window) {
+  for (const WindowEntry &P : Window) {
     Base.Steps.push_back(P.Step);
   }
   return Base;
@@ -286,7 +309,8 @@
       Base.Steps.size() >= Base.Version.Value ||
       (!Base.Steps.empty() &&
        Base.Steps.back().TextHash != sha256(Base.Text))) {
-    return absl::DataLossError("the base document's text isn't its own");
+    return absl::DataLossError(
+        "the base document's steps or text hash are wrong");
   }
   ChainState State;
   State.StartChain = Base.StartChain;
@@ -294,7 +318,7 @@
   State.Version = RulesVersion(Base.Version.Value - Base.Steps.size());
   for (const ChainStep &Step : Base.Steps) {
     ++State.Version.Value;
-    State.Chain = nextChain(State.Chain, State.Version, Step);
+    State.Chain = nextChainHash(State.Chain, State.Version, Step);
     State.Window.push_back({Step, State.Chain});
   }
   State.Text = Base.Text;
--- a/Source/Rules/ChainJson.cpp
+++ b/Source/Rules/ChainJson.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Printing and parsing of the documents in the store.
+/// Converts the documents in the store to JSON text and back.
 
 #include "balsamlatch/Rules/ChainJson.h"
 
@@ -22,14 +22,14 @@
   return List;
 }
 
-std::vector<std::string> linesOf(const JsonFields &Fields,
-                                 std::string_view Name, bool &Good) {
+std::vector<std::string> parseLines(const JsonFields &Fields,
+                                    std::string_view Name, bool &IsValid) {
   std::vector<std::string> Lines;
-  Fields.each(Name, [&](const json::value &Line) {
+  Fields.forEach(Name, [&](const json::value &Line) {
     if (const json::string *Text = Line.if_string()) {
       Lines.emplace_back(*Text);
     } else {
-      Good = false;
+      IsValid = false;
     }
   });
   return Lines;
@@ -42,15 +42,15 @@
           {"new", linesJson(Edit.New)}};
 }
 
-LineEdit editOf(const json::value &Value, bool &Good) {
-  const JsonFields Fields(Value, Good);
+LineEdit parseEdit(const json::value &Value, bool &IsValid) {
+  const JsonFields Fields(Value, IsValid);
   LineEdit Edit;
   const std::uint64_t Line = Fields.number("line");
-  Good = Good && Line <= std::numeric_limits<std::uint32_t>::max();
+  IsValid = IsValid && Line <= std::numeric_limits<std::uint32_t>::max();
   Edit.Line = static_cast<std::uint32_t>(Line);
   Edit.Above = Fields.text("above");
-  Edit.Old = linesOf(Fields, "old", Good);
-  Edit.New = linesOf(Fields, "new", Good);
+  Edit.Old = parseLines(Fields, "old", IsValid);
+  Edit.New = parseLines(Fields, "new", IsValid);
   return Edit;
 }
 
@@ -62,126 +62,131 @@
   return List;
 }
 
-std::vector<LineEdit> editsOf(const JsonFields &Fields, std::string_view Name,
-                              bool &Good) {
+std::vector<LineEdit> parseEdits(const JsonFields &Fields,
+                                 std::string_view Name, bool &IsValid) {
   std::vector<LineEdit> Edits;
-  Fields.each(Name, [&](const json::value &Edit) {
-    Edits.push_back(editOf(Edit, Good));
+  Fields.forEach(Name, [&](const json::value &Edit) {
+    Edits.push_back(parseEdit(Edit, IsValid));
   });
   return Edits;
 }
 
-json::object approvalJson(const Approval &Given) {
-  return {{"key", toHex(Given.Key)}, {"signature", toHex(Given.Signed)}};
+json::object approvalJson(const Approval &Entry) {
+  return {{"key", toHex(Entry.Key)}, {"signature", toHex(Entry.Signed)}};
 }
 
-Approval approvalOf(const json::value &Value, bool &Good) {
-  const JsonFields Fields(Value, Good);
+Approval parseApproval(const json::value &Value, bool &IsValid) {
+  const JsonFields Fields(Value, IsValid);
   return {Fields.hex<PublicKey>("key"), Fields.hex<Signature>("signature")};
 }
 
 json::array approvalsJson(const std::vector<Approval> &Approvals) {
   json::array List;
-  for (const Approval &Given : Approvals) {
-    List.push_back(approvalJson(Given));
+  for (const Approval &Entry : Approvals) {
+    List.push_back(approvalJson(Entry));
   }
   return List;
 }
 
-std::vector<Approval> approvalsOf(const JsonFields &Fields, bool &Good) {
+std::vector<Approval> parseApprovals(const JsonFields &Fields, bool &IsValid) {
   std::vector<Approval> Approvals;
-  Fields.each("approvals", [&](const json::value &Value) {
-    Approvals.push_back(approvalOf(Value, Good));
+  Fields.forEach("approvals", [&](const json::value &Value) {
+    Approvals.push_back(parseApproval(Value, IsValid));
   });
   return Approvals;
 }
 
-json::object landedJson(const LandedChange &Landed) {
-  return {{"version", Landed.Version.Value},
-          {"change", toJson(Landed.Subject)},
-          {"textHash", toHex(Landed.TextHash)},
-          {"landing", approvalJson(Landed.Landing)}};
+json::object landedChangeJson(const LandedChange &Entry) {
+  return {{"version", Entry.Version.Value},
+          {"change", toJson(Entry.Subject)},
+          {"textHash", toHex(Entry.TextHash)},
+          {"landing", approvalJson(Entry.Landing)}};
 }
 
-const json::value &orNull(const json::value *Value) {
+/// The value, or a JSON null for a missing field.
+const json::value &valueOrNull(const json::value *Value) {
   static const json::value Null;
   return Value != nullptr ? *Value : Null;
 }
 
-LandedChange landedOf(const json::value &Value, bool &Good) {
-  const JsonFields Fields(Value, Good);
-  LandedChange Landed;
-  Landed.Version = RulesVersion(Fields.number("version"));
-  Landed.Subject = signedChangeOf(orNull(Fields.field("change")), Good);
-  Landed.TextHash = Fields.hex<Digest>("textHash");
-  Landed.Landing = approvalOf(orNull(Fields.field("landing")), Good);
-  return Landed;
+LandedChange parseLandedChange(const json::value &Value, bool &IsValid) {
+  const JsonFields Fields(Value, IsValid);
+  LandedChange Entry;
+  Entry.Version = RulesVersion(Fields.number("version"));
+  Entry.Subject =
+      parseSignedChange(valueOrNull(Fields.field("change")), IsValid);
+  Entry.TextHash = Fields.hex<Digest>("textHash");
+  Entry.Landing = parseApproval(valueOrNull(Fields.field("landing")), IsValid);
+  return Entry;
 }
 
-json::array landedListJson(const std::vector<LandedChange> &Changes) {
+json::array landedChangesJson(const std::vector<LandedChange> &Changes) {
   json::array List;
-  for (const LandedChange &Landed : Changes) {
-    List.push_back(landedJson(Landed));
+  for (const LandedChange &Entry : Changes) {
+    List.push_back(landedChangeJson(Entry));
   }
   return List;
 }
 
-std::vector<LandedChange> landedListOf(const JsonFields &Fields,
-                                       std::string_view Name, bool &Good) {
+std::vector<LandedChange> parseLandedChanges(const JsonFields &Fields,
+                                             std::string_view Name,
+                                             bool &IsValid) {
   std::vector<LandedChange> Changes;
-  Fields.each(Name, [&](const json::value &Value) {
-    Changes.push_back(landedOf(Value, Good));
+  Fields.forEach(Name, [&](const json::value &Value) {
+    Changes.push_back(parseLandedChange(Value, IsValid));
   });
   return Changes;
 }
 
-json::object genesisJson(const Genesis &First) {
-  return {{"version", First.Version.Value},
-          {"textHash", toHex(First.TextHash)},
-          {"nonce", First.Nonce},
-          {"approvals", approvalsJson(First.Approvals)}};
+json::object genesisJson(const Genesis &FirstVersion) {
+  return {{"version", FirstVersion.Version.Value},
+          {"textHash", toHex(FirstVersion.TextHash)},
+          {"nonce", FirstVersion.Nonce},
+          {"approvals", approvalsJson(FirstVersion.Approvals)}};
 }
 
-Genesis genesisOf(const json::value &Value, bool &Good) {
-  const JsonFields Fields(Value, Good);
-  Genesis First;
-  First.Version = RulesVersion(Fields.number("version"));
-  First.TextHash = Fields.hex<Digest>("textHash");
-  First.Nonce = Fields.text("nonce");
-  First.Approvals = approvalsOf(Fields, Good);
-  return First;
+Genesis parseGenesis(const json::value &Value, bool &IsValid) {
+  const JsonFields Fields(Value, IsValid);
+  Genesis FirstVersion;
+  FirstVersion.Version = RulesVersion(Fields.number("version"));
+  FirstVersion.TextHash = Fields.hex<Digest>("textHash");
+  FirstVersion.Nonce = Fields.text("nonce");
+  FirstVersion.Approvals = parseApprovals(Fields, IsValid);
+  return FirstVersion;
 }
 
-/// Digits of the change's digest followed by those of the text's hash.
+/// The hexadecimal digits of the digest of the change, followed by those of the
+/// text hash.
 std::string stepText(const ChainStep &Step) {
   return toHex(Step.Change) + toHex(Step.TextHash);
 }
 
-ChainStep stepOf(const json::value &Value, bool &Good) {
+ChainStep parseStep(const json::value &Value, bool &IsValid) {
   ChainStep Step;
   const json::string *Text = Value.if_string();
-  const std::size_t Digits = 2 * Step.Change.Bytes.size();
-  if (Text == nullptr || Text->size() != 2 * Digits) {
-    Good = false;
+  const std::size_t HashDigits = 2 * Step.Change.Bytes.size();
+  if (Text == nullptr || Text->size() != 2 * HashDigits) {
+    IsValid = false;
     return Step;
   }
-  const std::string_view All(*Text);
-  const bool Read = fromHex(All.substr(0, Digits), Step.Change.Bytes.data(),
-                            Step.Change.Bytes.size()) &&
-                    fromHex(All.substr(Digits), Step.TextHash.Bytes.data(),
-                            Step.TextHash.Bytes.size());
-  Good = Good && Read;
+  const std::string_view Hashes(*Text);
+  const bool IsHex =
+      fromHex(Hashes.substr(0, HashDigits), Step.Change.Bytes.data(),
+              Step.Change.Bytes.size()) &&
+      fromHex(Hashes.substr(HashDigits), Step.TextHash.Bytes.data(),
+              Step.TextHash.Bytes.size());
+  IsValid = IsValid && IsHex;
   return Step;
 }
 
-absl::Status faulty(std::string_view What) {
-  return absl::DataLossError("not a " + std::string(What));
+absl::Status makeParseError(std::string_view DocumentKind) {
+  return absl::DataLossError("not a " + std::string(DocumentKind));
 }
 
 } // namespace
 
-json::value toJson(const SignedChange &Subject) {
-  const Change &Content = Subject.Content;
+json::value toJson(const SignedChange &Proposal) {
+  const Change &Content = Proposal.Content;
   json::array NewOwners;
   for (const PublicKey &Key : Content.NewOwners) {
     NewOwners.push_back(json::string(toHex(Key)));
@@ -194,56 +199,56 @@
                       {"nonce", Content.Nonce},
                       {"edits", editsJson(Content.Edits)},
                       {"newOwners", std::move(NewOwners)},
-                      {"approvals", approvalsJson(Subject.Approvals)}};
+                      {"approvals", approvalsJson(Proposal.Approvals)}};
 }
 
-SignedChange signedChangeOf(const json::value &Value, bool &Good) {
-  const JsonFields Fields(Value, Good);
-  SignedChange Subject;
-  Change &Content = Subject.Content;
+SignedChange parseSignedChange(const json::value &Value, bool &IsValid) {
+  const JsonFields Fields(Value, IsValid);
+  SignedChange Proposal;
+  Change &Content = Proposal.Content;
   Content.Base = RulesVersion(Fields.number("base"));
   Content.BaseChain = Fields.hex<Digest>("baseChain");
   Content.Proposer = OwnerName(Fields.text("proposer"));
   Content.Reason = Fields.text("reason");
   Content.ProposedAt = Fields.number("proposedAt");
   Content.Nonce = Fields.text("nonce");
-  Content.Edits = editsOf(Fields, "edits", Good);
-  Fields.each("newOwners", [&](const json::value &Key) {
+  Content.Edits = parseEdits(Fields, "edits", IsValid);
+  Fields.forEach("newOwners", [&](const json::value &Key) {
     const json::string *Text = Key.if_string();
     const absl::StatusOr<PublicKey> Parsed =
         parseHex<PublicKey>(Text != nullptr ? std::string_view(*Text) : "");
-    Good = Good && Parsed.ok();
+    IsValid = IsValid && Parsed.ok();
     Content.NewOwners.push_back(Parsed.value_or(PublicKey()));
   });
-  Subject.Approvals = approvalsOf(Fields, Good);
-  return Subject;
+  Proposal.Approvals = parseApprovals(Fields, IsValid);
+  return Proposal;
 }
 
 std::string printHead(const HeadDocument &Head) {
   return json::serialize(
       json::object{{"version", Head.version().Value},
                    {"first", genesisJson(Head.First)},
-                   {"keyChanges", landedListJson(Head.KeyChanges)},
+                   {"keyChanges", landedChangesJson(Head.KeyChanges)},
                    {"base", Head.Base.Value},
-                   {"changes", landedListJson(Head.Changes)}});
+                   {"changes", landedChangesJson(Head.Changes)}});
 }
 
 absl::StatusOr<HeadDocument> parseHead(std::string_view Text) {
   json::error_code Error;
   const json::value Value = json::parse(Text, Error);
-  bool Good = !Error;
-  const JsonFields Fields(Value, Good);
+  bool IsValid = !Error;
+  const JsonFields Fields(Value, IsValid);
   HeadDocument Head;
-  Head.First = genesisOf(orNull(Fields.field("first")), Good);
-  Head.KeyChanges = landedListOf(Fields, "keyChanges", Good);
+  Head.First = parseGenesis(valueOrNull(Fields.field("first")), IsValid);
+  Head.KeyChanges = parseLandedChanges(Fields, "keyChanges", IsValid);
   Head.Base = RulesVersion(Fields.number("base"));
-  Head.Changes = landedListOf(Fields, "changes", Good);
+  Head.Changes = parseLandedChanges(Fields, "changes", IsValid);
   std::uint64_t Version = Head.Base.Value;
-  for (const LandedChange &Landed : Head.Changes) {
-    Good = Good && Landed.Version.Value == ++Version;
+  for (const LandedChange &Entry : Head.Changes) {
+    IsValid = IsValid && Entry.Version.Value == ++Version;
   }
-  if (!Good) {
-    return faulty("head document");
+  if (!IsValid) {
+    return makeParseError("head document");
   }
   return Head;
 }
@@ -262,27 +267,27 @@
 absl::StatusOr<BaseDocument> parseBase(std::string_view Text) {
   json::error_code Error;
   const json::value Value = json::parse(Text, Error);
-  bool Good = !Error;
-  const JsonFields Fields(Value, Good);
+  bool IsValid = !Error;
+  const JsonFields Fields(Value, IsValid);
   BaseDocument Base;
   Base.Version = RulesVersion(Fields.number("version"));
   Base.Text = Fields.text("text");
   Base.StartChain = Fields.hex<Digest>("startChain");
-  Fields.each("steps", [&](const json::value &Step) {
-    Base.Steps.push_back(stepOf(Step, Good));
+  Fields.forEach("steps", [&](const json::value &Step) {
+    Base.Steps.push_back(parseStep(Step, IsValid));
   });
-  if (!Good) {
-    return faulty("base document");
+  if (!IsValid) {
+    return makeParseError("base document");
   }
   return Base;
 }
 
 std::string printRetired(const std::vector<RetiredChange> &Changes) {
   json::array List;
-  for (const RetiredChange &Retired : Changes) {
-    json::object Entry = landedJson(Retired.Landed);
-    Entry["undo"] = editsJson(Retired.Undo);
-    List.push_back(std::move(Entry));
+  for (const RetiredChange &Entry : Changes) {
+    json::object Object = landedChangeJson(Entry.Landed);
+    Object["undo"] = editsJson(Entry.Undo);
+    List.push_back(std::move(Object));
   }
   return json::serialize(json::object{{"changes", std::move(List)}});
 }
@@ -290,50 +295,52 @@
 absl::StatusOr<std::vector<RetiredChange>> parseRetired(std::string_view Text) {
   json::error_code Error;
   const json::value Value = json::parse(Text, Error);
-  bool Good = !Error;
+  bool IsValid = !Error;
   std::vector<RetiredChange> Changes;
-  JsonFields(Value, Good).each("changes", [&](const json::value &Entry) {
-    Changes.push_back({landedOf(Entry, Good),
-                       editsOf(JsonFields(Entry, Good), "undo", Good)});
+  JsonFields(Value, IsValid).forEach("changes", [&](const json::value &Entry) {
+    Changes.push_back(
+        {parseLandedChange(Entry, IsValid),
+         parseEdits(JsonFields(Entry, IsValid), "undo", IsValid)});
   });
-  if (!Good) {
-    return faulty("list of retired changes");
+  if (!IsValid) {
+    return makeParseError("list of retired changes");
   }
   return Changes;
 }
 
-std::string printProposals(const Proposals &All) {
-  json::array Open;
-  for (const SignedChange &Subject : All.Open) {
-    Open.push_back(toJson(Subject));
+std::string printProposals(const Proposals &Document) {
+  json::array OpenList;
+  for (const SignedChange &Proposal : Document.Open) {
+    OpenList.push_back(toJson(Proposal));
   }
-  json::array Closed;
-  for (const ClosedProposal &Gone : All.Closed) {
-    Closed.push_back(
-        json::object{{"id", Gone.Id}, {"by", Gone.By.Text}, {"how", Gone.How}});
+  json::array ClosedList;
+  for (const ClosedProposal &Entry : Document.Closed) {
+    ClosedList.push_back(json::object{
+        {"id", Entry.Id}, {"by", Entry.By.Text}, {"how", Entry.How}});
   }
-  return json::serialize(
-      json::object{{"open", std::move(Open)}, {"closed", std::move(Closed)}});
+  return json::serialize(json::object{{"open", std::move(OpenList)},
+                                      {"closed", std::move(ClosedList)}});
 }
 
 absl::StatusOr<Proposals> parseProposals(std::string_view Text) {
   json::error_code Error;
   const json::value Value = json::parse(Text, Error);
-  bool Good = !Error;
-  const JsonFields Fields(Value, Good);
-  Proposals All;
-  Fields.each("open", [&](const json::value &Subject) {
-    All.Open.push_back(signedChangeOf(Subject, Good));
+  bool IsValid = !Error;
+  const JsonFields Fields(Value, IsValid);
+  Proposals Document;
+  Fields.forEach("open", [&](const json::value &Proposal) {
+    Document.Open.push_back(parseSignedChange(Proposal, IsValid));
   });
-  Fields.each("closed", [&](const json::value &Entry) {
-    const JsonFields Gone(Entry, Good);
-    All.Closed.push_back(
-        {Gone.text("id"), OwnerName(Gone.text("by")), Gone.text("how")});
+  Fields.forEach("closed", [&](const json::value &Entry) {
+    const JsonFields EntryFields(Entry, IsValid);
+    Document.Closed.push_back({EntryFields.text("id"),
+                               OwnerName(EntryFields.text("by")),
+                               EntryFields.text("how")});
   });
-  if (!Good) {
-    return faulty("list of proposals");
+  if (!IsValid) {
+    return makeParseError("list of proposals");
   }
-  return All;
+  return Document;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/ChainSignatures.h
+++ b/Source/Rules/ChainSignatures.h
@@ -1,5 +1,5 @@
 /// \file
-/// Who must sign what in the chain of versions.
+/// The messages that owners sign in the chain, and checks of their signatures.
 
 #ifndef BALSAMLATCH_RULES_CHAINSIGNATURES_H
 #define BALSAMLATCH_RULES_CHAINSIGNATURES_H
@@ -12,36 +12,37 @@
 
 namespace balsamlatch {
 
-/// What both first owners sign.
-std::string genesisMessage(const Genesis &First);
-/// What the owner signs who lands the version with this chain hash.
+/// The bytes that both first owners sign.
+std::string genesisMessage(const Genesis &FirstVersion);
+/// The bytes that an owner signs to land the version with this chain hash.
 std::string landingMessage(const Digest &Chain);
 
-/// First digits of a key, for messages.
-inline std::string shortKey(const PublicKey &Key) {
+/// The first digits of a key, for messages.
+inline std::string abbreviateKey(const PublicKey &Key) {
   constexpr std::size_t Bytes = 6;
   return "key " + toHex(Key.Bytes.data(), Bytes) + "...";
 }
 
-inline bool signedBy(const std::vector<Approval> &Approvals,
-                     const PublicKey &Key, std::string_view Message) {
+/// Whether the approvals contain a valid signature of the message by the key.
+inline bool hasValidSignature(const std::vector<Approval> &Approvals,
+                              const PublicKey &Key, std::string_view Message) {
   return std::any_of(
-      Approvals.begin(), Approvals.end(), [&](const Approval &Given) {
-        return Given.Key == Key && verifySignature(Key, Message, Given.Signed);
+      Approvals.begin(), Approvals.end(), [&](const Approval &Entry) {
+        return Entry.Key == Key && verifySignature(Key, Message, Entry.Signed);
       });
 }
 
-/// The owners before and after a change; all of them must sign it, so that a
-/// new key is shown to be in its owner's hands.
-inline std::vector<PublicKey> requiredKeys(const OwnerKeys &Before,
-                                           const OwnerKeys &After) {
-  std::vector<PublicKey> Keys(Before.begin(), Before.end());
-  for (const PublicKey &Key : After) {
-    if (std::find(Keys.begin(), Keys.end(), Key) == Keys.end()) {
-      Keys.push_back(Key);
+/// The keys that must sign a change: those of the owners before and after it.
+/// The signature by a new key proves that its owner holds the private key.
+inline std::vector<PublicKey> requiredSigners(const OwnerKeys &OldOwners,
+                                              const OwnerKeys &NewOwners) {
+  std::vector<PublicKey> Signers(OldOwners.begin(), OldOwners.end());
+  for (const PublicKey &Key : NewOwners) {
+    if (std::find(Signers.begin(), Signers.end(), Key) == Signers.end()) {
+      Signers.push_back(Key);
     }
   }
-  return Keys;
+  return Signers;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/Change.cpp
+++ b/Source/Rules/Change.cpp
@@ -1,9 +1,9 @@
 /// \file
-/// Digests and approvals of changes.
+/// Digests of changes, and signing and verifying their approvals.
 
 #include "balsamlatch/Rules/Change.h"
 
-#include "Canonical.h"
+#include "CanonicalEncoder.h"
 
 #include <algorithm>
 
@@ -11,46 +11,47 @@
 
 namespace {
 
-std::string approvalMessage(const Change &Subject) {
-  Canonical Message("balsamlatch change approval 1");
-  Message.add(changeDigest(Subject));
-  return Message.text();
+/// The bytes that an owner signs to approve the change.
+std::string approvalMessage(const Change &Proposal) {
+  CanonicalEncoder Encoder("balsamlatch change approval 1");
+  Encoder.add(changeDigest(Proposal));
+  return Encoder.bytes();
 }
 
 } // namespace
 
-Digest changeDigest(const Change &Subject) {
-  Canonical Fields("balsamlatch change 1");
-  Fields.add(Subject.Base.Value);
-  Fields.add(Subject.BaseChain);
-  Fields.add(Subject.Proposer.Text);
-  Fields.add(Subject.Reason);
-  Fields.add(Subject.ProposedAt);
-  Fields.add(Subject.Nonce);
-  Fields.add(static_cast<std::uint64_t>(Subject.Edits.size()));
-  for (const LineEdit &Edit : Subject.Edits) {
-    Fields.add(static_cast<std::uint64_t>(Edit.Line));
-    Fields.add(Edit.Above);
-    Fields.add(Edit.Old);
-    Fields.add(Edit.New);
+Digest changeDigest(const Change &Proposal) {
+  CanonicalEncoder Encoder("balsamlatch change 1");
+  Encoder.add(Proposal.Base.Value);
+  Encoder.add(Proposal.BaseChain);
+  Encoder.add(Proposal.Proposer.Text);
+  Encoder.add(Proposal.Reason);
+  Encoder.add(Proposal.ProposedAt);
+  Encoder.add(Proposal.Nonce);
+  Encoder.add(static_cast<std::uint64_t>(Proposal.Edits.size()));
+  for (const LineEdit &Edit : Proposal.Edits) {
+    Encoder.add(static_cast<std::uint64_t>(Edit.Line));
+    Encoder.add(Edit.Above);
+    Encoder.add(Edit.Old);
+    Encoder.add(Edit.New);
   }
-  Fields.add(static_cast<std::uint64_t>(Subject.NewOwners.size()));
-  for (const PublicKey &Key : Subject.NewOwners) {
-    Fields.add(Key);
+  Encoder.add(static_cast<std::uint64_t>(Proposal.NewOwners.size()));
+  for (const PublicKey &Key : Proposal.NewOwners) {
+    Encoder.add(Key);
   }
-  return Fields.digest();
+  return Encoder.digest();
 }
 
-Approval approve(const Change &Subject, const PrivateKey &Key) {
-  return {Key.publicKey(), Key.sign(approvalMessage(Subject))};
+Approval approve(const Change &Proposal, const PrivateKey &Key) {
+  return {Key.publicKey(), Key.sign(approvalMessage(Proposal))};
 }
 
-bool approvedBy(const SignedChange &Subject, const PublicKey &Key) {
-  const auto Found =
-      std::find_if(Subject.Approvals.begin(), Subject.Approvals.end(),
-                   [&](const Approval &Given) { return Given.Key == Key; });
-  return Found != Subject.Approvals.end() &&
-         verifySignature(Key, approvalMessage(Subject.Content), Found->Signed);
+bool approvedBy(const SignedChange &Proposal, const PublicKey &Key) {
+  const auto Match =
+      std::find_if(Proposal.Approvals.begin(), Proposal.Approvals.end(),
+                   [&](const Approval &Entry) { return Entry.Key == Key; });
+  return Match != Proposal.Approvals.end() &&
+         verifySignature(Key, approvalMessage(Proposal.Content), Match->Signed);
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/Check.cpp
+++ b/Source/Rules/Check.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Findings across rules.
+/// Checks of consistency between rules.
 
 #include "Check.h"
 
@@ -15,31 +15,31 @@
 
 namespace {
 
-constexpr std::size_t OwnersNeeded = 2;
+constexpr std::size_t RequiredOwners = 2;
 constexpr std::uint32_t SlotsPerWorker = 8;
 constexpr Duration Day = std::chrono::hours(24);
-/// Time that a host is away for maintenance: drain, reboot and return.
+/// Assumed time that a host is away for maintenance: drain, reboot and return.
 constexpr Duration HostMaintenance = std::chrono::minutes(30);
 
-/// Collects findings with the line that they are about.
+/// Runs the checks and collects their findings, with their place in the text.
 class Checker {
 public:
-  Checker(const RulesSource &Text, const RuleSet &All)
-      : Source(Text), Rules(All) {}
+  Checker(const RulesSource &RulesText, const RuleSet &AllRules)
+      : Source(RulesText), Rules(AllRules) {}
 
-  void owners();
-  void jobs();
-  void quotas();
-  void pools();
-  void maintenance();
-  std::vector<Finding> take() { return std::move(Problems); }
+  void checkOwners();
+  void checkJobs();
+  void checkQuotas();
+  void checkPools();
+  void checkMaintenance();
+  std::vector<Finding> takeFindings() { return std::move(Problems); }
 
 private:
-  void job(const JobRule &Job);
-  /// Hosts of the pool that may be away at once for maintenance.
-  std::uint32_t mayBeAway(const PoolRule &Pool) const;
-  /// Reports at the word in the rule's line, the one after `in` if there is
-  /// one.
+  void checkJob(const JobRule &Job);
+  /// Number of hosts of the pool that may be away at once for maintenance.
+  std::uint32_t maxHostsAway(const PoolRule &Pool) const;
+  /// Adds a finding at the column of the word in the line of the rule,
+  /// preferably after the keyword `in`.
   void report(const RuleOrigin &Origin, std::string_view Word,
               std::string Message, std::string Remedy);
 
@@ -51,28 +51,30 @@
 void Checker::report(const RuleOrigin &Origin, std::string_view Word,
                      std::string Message, std::string Remedy) {
   const std::string_view Line = Source.Lines[Origin.Line - 1];
-  const std::vector<RuleWord> Words = splitRuleLine(Line, 0).Words;
-  // A pool's name comes after `in`; a job may have the same name.
-  const auto In = std::find_if(Words.begin(), Words.end(),
-                               [](RuleWord W) { return W.Text == "in"; });
-  const auto Is = [&](RuleWord W) { return W.Text == Word; };
-  auto Found = std::find_if(In, Words.end(), Is);
-  Found = Found == Words.end() ? std::find_if(Words.begin(), Words.end(), Is)
-                               : Found;
+  const std::vector<RuleWord> Words = tokenizeRuleLine(Line, 0).Words;
+  // The name of the pool follows `in`; the job before it may have the same
+  // name.
+  const auto InKeyword = std::find_if(
+      Words.begin(), Words.end(), [](RuleWord W) { return W.Text == "in"; });
+  const auto IsWord = [&](RuleWord W) { return W.Text == Word; };
+  auto Position = std::find_if(InKeyword, Words.end(), IsWord);
+  Position = Position == Words.end()
+                 ? std::find_if(Words.begin(), Words.end(), IsWord)
+                 : Position;
   Finding F;
   F.Place = {Source.File, Origin.Line,
-             Found == Words.end() ? 1 : Found->Column};
+             Position == Words.end() ? 1 : Position->Column};
   F.Message = std::move(Message);
   F.Remedy = std::move(Remedy);
   F.SourceLine = std::string(Line);
   Problems.push_back(std::move(F));
 }
 
-void Checker::owners() {
-  if (Rules.Owners.size() < OwnersNeeded) {
-    const auto Last = static_cast<unsigned>(Source.Lines.size());
+void Checker::checkOwners() {
+  if (Rules.Owners.size() < RequiredOwners) {
+    const auto LastLine = static_cast<unsigned>(Source.Lines.size());
     Finding Missing;
-    Missing.Place = {Source.File, std::max(1U, Last), 1};
+    Missing.Place = {Source.File, std::max(1U, LastLine), 1};
     Missing.Message = fmt::format("{} of two co-owners", Rules.Owners.size());
     Missing.Remedy =
         "add lines owner NAME key HEX # WHO-ASKED until there are two";
@@ -80,11 +82,11 @@
   }
   for (std::size_t I = 0; I < Rules.Owners.size(); ++I) {
     const OwnerRule &Owner = Rules.Owners[I];
-    if (I >= OwnersNeeded) {
+    if (I >= RequiredOwners) {
       report(Owner.Origin, "owner", "a third co-owner",
              "keep exactly two owner lines");
     }
-    for (std::size_t J = 0; J < std::min(I, OwnersNeeded); ++J) {
+    for (std::size_t J = 0; J < std::min(I, RequiredOwners); ++J) {
       if (Rules.Owners[J].Owner == Owner.Owner) {
         report(Owner.Origin, Owner.Owner.Text,
                fmt::format("co-owner {} is given twice", Owner.Owner.Text),
@@ -99,7 +101,7 @@
   }
 }
 
-void Checker::job(const JobRule &Job) {
+void Checker::checkJob(const JobRule &Job) {
   const PoolRule *Pool = Rules.pool(Job.Pool);
   if (Pool == nullptr) {
     report(Job.Origin, Job.Pool.Text,
@@ -107,10 +109,10 @@
            "name a pool that has a pool line");
     return;
   }
-  const TaskSize &Most = Pool->WorkerSize;
-  if (Job.Size.MilliCores > Most.MilliCores ||
-      Job.Size.MemoryMiB > Most.MemoryMiB ||
-      Job.Size.Accelerators > Most.Accelerators) {
+  const TaskSize &WorkerCapacity = Pool->WorkerSize;
+  if (Job.Size.MilliCores > WorkerCapacity.MilliCores ||
+      Job.Size.MemoryMiB > WorkerCapacity.MemoryMiB ||
+      Job.Size.Accelerators > WorkerCapacity.Accelerators) {
     report(Job.Origin, "size",
            fmt::format("job {} is larger than any worker of pool {}",
                        Job.Job.Text, Job.Pool.Text),
@@ -133,13 +135,13 @@
   }
 }
 
-void Checker::jobs() {
+void Checker::checkJobs() {
   for (const auto &[Name, Job] : Rules.Jobs) {
-    job(Job);
+    checkJob(Job);
   }
 }
 
-void Checker::pools() {
+void Checker::checkPools() {
   const PoolRule *Spare = nullptr;
   for (const auto &[Name, Pool] : Rules.Pools) {
     if (Pool.Away.Measure == AwayBudget::Kind::Hosts &&
@@ -157,17 +159,17 @@
   }
 }
 
-std::uint32_t Checker::mayBeAway(const PoolRule &Pool) const {
+std::uint32_t Checker::maxHostsAway(const PoolRule &Pool) const {
   std::uint32_t Hosts = Pool.Away.allowed(Pool.Hosts);
   for (const DomainRule &Domain : Rules.Domains) {
-    const bool None =
+    const bool NoneAllowed =
         Domain.Away.Amount == 0 && Domain.Kind == DomainKind::DataCentre;
-    Hosts = None ? 0 : Hosts;
+    Hosts = NoneAllowed ? 0 : Hosts;
   }
   return Hosts;
 }
 
-void Checker::maintenance() {
+void Checker::checkMaintenance() {
   const MaintenanceRule &Rule = Rules.Maintenance;
   if (Rule.Origin.Line == 0) {
     return;
@@ -177,10 +179,10 @@
     Daily += Window.From < Window.To ? Window.To - Window.From
                                      : Day - Window.From + Window.To;
   }
-  const Duration Open = Rule.Period / Day * std::min(Daily, Day);
+  const Duration WindowTime = Rule.Period / Day * std::min(Daily, Day);
   for (const auto &[Name, Pool] : Rules.Pools) {
-    const std::uint32_t Away = mayBeAway(Pool);
-    if (Away == 0) {
+    const std::uint32_t HostsAway = maxHostsAway(Pool);
+    if (HostsAway == 0) {
       report(Pool.Origin, "away",
              fmt::format("no host of pool {} may be away, so none can be "
                          "maintained",
@@ -188,22 +190,23 @@
              "allow at least one host to be away");
       continue;
     }
-    const Duration Needed = (Pool.Hosts + Away - 1) / Away * HostMaintenance;
-    if (Needed > Open) {
+    const Duration Needed =
+        (Pool.Hosts + HostsAway - 1) / HostsAway * HostMaintenance;
+    if (Needed > WindowTime) {
       report(Rule.Origin, "every",
              fmt::format("pool {} has {} hosts, {} of them away at once: "
                          "maintenance takes {}, the windows of one period "
                          "give {}",
-                         Name.Text, Pool.Hosts, Away, formatDuration(Needed),
-                         formatDuration(Open)),
+                         Name.Text, Pool.Hosts, HostsAway,
+                         formatDuration(Needed), formatDuration(WindowTime)),
              "allow a longer period, wider windows or more hosts away");
     }
   }
 }
 
-void Checker::quotas() {
-  std::map<std::pair<TeamName, PoolName>, RuleOrigin> Seen;
-  std::map<PoolName, std::uint64_t> Granted;
+void Checker::checkQuotas() {
+  std::map<std::pair<TeamName, PoolName>, RuleOrigin> FirstQuotas;
+  std::map<PoolName, std::uint64_t> GrantedSlots;
   for (const QuotaRule &Quota : Rules.Quotas) {
     const PoolRule *Pool = Rules.pool(Quota.Pool);
     if (Pool == nullptr) {
@@ -213,22 +216,23 @@
       continue;
     }
     const std::uint64_t Capacity = std::uint64_t(Pool->Hosts) * SlotsPerWorker;
-    std::uint64_t &Sum = Granted[Quota.Pool];
-    Sum += Quota.Slots;
-    if (Sum > Capacity) {
+    std::uint64_t &TotalSlots = GrantedSlots[Quota.Pool];
+    TotalSlots += Quota.Slots;
+    if (TotalSlots > Capacity) {
       report(Quota.Origin, "slots",
              fmt::format("the quotas of pool {} come to {} slots, its {} hosts "
                          "have {}",
-                         Quota.Pool.Text, Sum, Pool->Hosts, Capacity),
+                         Quota.Pool.Text, TotalSlots, Pool->Hosts, Capacity),
              "grant fewer slots, or give the pool more hosts");
     }
-    const auto [Place, Added] =
-        Seen.try_emplace({Quota.Team, Quota.Pool}, Quota.Origin);
-    if (!Added) {
+    const auto [Previous, Inserted] =
+        FirstQuotas.try_emplace({Quota.Team, Quota.Pool}, Quota.Origin);
+    if (!Inserted) {
       report(Quota.Origin, Quota.Team.Text,
              fmt::format("the quota of {} in {} is given twice, first in line "
                          "{}",
-                         Quota.Team.Text, Quota.Pool.Text, Place->second.Line),
+                         Quota.Team.Text, Quota.Pool.Text,
+                         Previous->second.Line),
              "keep one of the two lines");
     }
   }
@@ -239,12 +243,12 @@
 void checkRules(const RulesSource &Source, const RuleSet &Rules,
                 Findings &Problems) {
   Checker Check(Source, Rules);
-  Check.owners();
-  Check.jobs();
-  Check.quotas();
-  Check.pools();
-  Check.maintenance();
-  Problems.addAll(Check.take());
+  Check.checkOwners();
+  Check.checkJobs();
+  Check.checkQuotas();
+  Check.checkPools();
+  Check.checkMaintenance();
+  Problems.addAll(Check.takeFindings());
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/Check.h
+++ b/Source/Rules/Check.h
@@ -1,5 +1,5 @@
 /// \file
-/// Findings that need more than one rule to be seen.
+/// Checks that involve more than one rule.
 
 #ifndef BALSAMLATCH_RULES_CHECK_H
 #define BALSAMLATCH_RULES_CHECK_H
@@ -13,13 +13,14 @@
 
 namespace balsamlatch {
 
-/// The text that findings point into.
+/// The rules text that findings refer to.
 struct RulesSource {
   const std::string &File;
   const std::vector<std::string_view> &Lines;
 };
 
-/// Adds what is wrong across \p Rules.
+/// Checks the rules for consistency with each other and adds the findings to
+/// \p Problems.
 void checkRules(const RulesSource &Source, const RuleSet &Rules,
                 Findings &Problems);
 
--- a/Source/Rules/Diff.cpp
+++ b/Source/Rules/Diff.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// The shortest line edits between two texts, by Myers' greedy algorithm.
+/// Computes the shortest line edits between two texts by Myers' greedy
+/// algorithm.
 
 #include "TextLines.h"
 #include "balsamlatch/Rules/Change.h"
@@ -12,130 +13,142 @@
 
 using Lines = std::vector<std::string_view>;
 
-/// Texts that differ by more lines become one edit.
+/// Texts that differ by more lines are replaced by a single edit.
 constexpr std::ptrdiff_t MaxDistance = 500;
 
-/// A pair of positions; moving along both is an unchanged line.
+/// A node of the edit graph: a position in the old text and one in the new
+/// text. A diagonal move is an unchanged line.
 struct Point {
   std::ptrdiff_t X = 0;
   std::ptrdiff_t Y = 0;
 };
 
-/// Furthest X on each diagonal after each number of differences.
-class Search {
+/// Finds the shortest path through the edit graph. Computes the furthest X on
+/// each diagonal for an increasing number of differences.
+class MyersDiff {
 public:
-  Search(const Lines &FromLines, const Lines &ToLines)
-      : From(FromLines), To(ToLines) {}
+  MyersDiff(const Lines &OldText, const Lines &NewText)
+      : OldLines(OldText), NewLines(NewText) {}
 
-  /// The points at which lines are equal, in order; empty if the texts are
-  /// too far apart.
+  /// The points at which lines are equal, in order; empty if the texts have
+  /// more than MaxDistance differences.
   std::vector<Point> equalLines();
 
 private:
-  using Reach = std::vector<std::ptrdiff_t>;
+  /// The furthest X for each diagonal.
+  using Frontier = std::vector<std::ptrdiff_t>;
 
-  bool down(const Reach &R, std::ptrdiff_t Diagonal,
-            std::ptrdiff_t Distance) const {
+  /// Whether the best path to the diagonal ends with an insertion, not a
+  /// deletion.
+  bool isInsertion(const Frontier &Furthest, std::ptrdiff_t Diagonal,
+                   std::ptrdiff_t Distance) const {
     return Diagonal == -Distance ||
            (Diagonal != Distance &&
-            R[index(Diagonal - 1)] < R[index(Diagonal + 1)]);
+            Furthest[index(Diagonal - 1)] < Furthest[index(Diagonal + 1)]);
   }
   std::size_t index(std::ptrdiff_t Diagonal) const {
-    return static_cast<std::size_t>(Diagonal + Offset);
+    return static_cast<std::size_t>(Diagonal + DiagonalOffset);
   }
-  Point slide(Point At) const;
-  bool step(Reach &R, std::ptrdiff_t Distance) const;
+  /// Follows the diagonal as long as the lines are equal.
+  Point skipEqualLines(Point Position) const;
+  /// Extends the frontier by one difference. True if it reaches both ends.
+  bool advance(Frontier &Furthest, std::ptrdiff_t Distance) const;
+  /// Recovers the equal lines of the path from the trace.
   std::vector<Point> backtrack() const;
 
-  const Lines &From;
-  const Lines &To;
-  std::ptrdiff_t Offset = 0;
-  // Invariant: Trace[D] is the reach before the round of D differences.
-  std::vector<Reach> Trace;
+  const Lines &OldLines;
+  const Lines &NewLines;
+  std::ptrdiff_t DiagonalOffset = 0;
+  // Invariant: Trace[D] is the frontier before the round of D differences.
+  std::vector<Frontier> Trace;
 };
 
-Point Search::slide(Point At) const {
-  while (At.X < std::ssize(From) && At.Y < std::ssize(To) &&
-         From[std::size_t(At.X)] == To[std::size_t(At.Y)]) {
-    ++At.X;
-    ++At.Y;
+Point MyersDiff::skipEqualLines(Point Position) const {
+  while (
+      Position.X < std::ssize(OldLines) && Position.Y < std::ssize(NewLines) &&
+      OldLines[std::size_t(Position.X)] == NewLines[std::size_t(Position.Y)]) {
+    ++Position.X;
+    ++Position.Y;
   }
-  return At;
+  return Position;
 }
 
-bool Search::step(Reach &R, std::ptrdiff_t Distance) const {
-  for (std::ptrdiff_t K = -Distance; K <= Distance; K += 2) {
-    const std::ptrdiff_t X =
-        down(R, K, Distance) ? R[index(K + 1)] : R[index(K - 1)] + 1;
-    const Point End = slide({X, X - K});
-    R[index(K)] = End.X;
-    if (End.X >= std::ssize(From) && End.Y >= std::ssize(To)) {
+bool MyersDiff::advance(Frontier &Furthest, std::ptrdiff_t Distance) const {
+  for (std::ptrdiff_t Diagonal = -Distance; Diagonal <= Distance;
+       Diagonal += 2) {
+    const std::ptrdiff_t X = isInsertion(Furthest, Diagonal, Distance)
+                                 ? Furthest[index(Diagonal + 1)]
+                                 : Furthest[index(Diagonal - 1)] + 1;
+    const Point End = skipEqualLines({X, X - Diagonal});
+    Furthest[index(Diagonal)] = End.X;
+    if (End.X >= std::ssize(OldLines) && End.Y >= std::ssize(NewLines)) {
       return true;
     }
   }
   return false;
 }
 
-std::vector<Point> Search::backtrack() const {
-  std::vector<Point> Equal;
-  Point At{std::ssize(From), std::ssize(To)};
-  for (auto D = std::ssize(Trace) - 1; D >= 0; --D) {
-    const Reach &R = Trace[std::size_t(D)];
-    const std::ptrdiff_t K = At.X - At.Y;
-    const std::ptrdiff_t Previous = down(R, K, D) ? K + 1 : K - 1;
-    const std::ptrdiff_t X = D == 0 ? 0 : R[index(Previous)];
-    const std::ptrdiff_t Y = D == 0 ? 0 : X - Previous;
-    while (At.X > X && At.Y > Y) {
-      Equal.push_back({--At.X, --At.Y});
+std::vector<Point> MyersDiff::backtrack() const {
+  std::vector<Point> EqualPoints;
+  Point Position{std::ssize(OldLines), std::ssize(NewLines)};
+  for (auto Distance = std::ssize(Trace) - 1; Distance >= 0; --Distance) {
+    const Frontier &Furthest = Trace[std::size_t(Distance)];
+    const std::ptrdiff_t Diagonal = Position.X - Position.Y;
+    const std::ptrdiff_t Previous =
+        isInsertion(Furthest, Diagonal, Distance) ? Diagonal + 1 : Diagonal - 1;
+    const std::ptrdiff_t X = Distance == 0 ? 0 : Furthest[index(Previous)];
+    const std::ptrdiff_t Y = Distance == 0 ? 0 : X - Previous;
+    while (Position.X > X && Position.Y > Y) {
+      EqualPoints.push_back({--Position.X, --Position.Y});
     }
-    At = {X, Y};
+    Position = {X, Y};
   }
-  std::reverse(Equal.begin(), Equal.end());
-  return Equal;
+  std::reverse(EqualPoints.begin(), EqualPoints.end());
+  return EqualPoints;
 }
 
-std::vector<Point> Search::equalLines() {
-  const std::ptrdiff_t Most =
-      std::min(std::ssize(From) + std::ssize(To), MaxDistance);
-  Offset = Most + 1;
-  Reach R(std::size_t(2 * Offset + 1), 0);
-  for (std::ptrdiff_t D = 0; D <= Most; ++D) {
-    Trace.push_back(R);
-    if (step(R, D)) {
+std::vector<Point> MyersDiff::equalLines() {
+  const std::ptrdiff_t MaxDifferences =
+      std::min(std::ssize(OldLines) + std::ssize(NewLines), MaxDistance);
+  DiagonalOffset = MaxDifferences + 1;
+  Frontier Furthest(std::size_t(2 * DiagonalOffset + 1), 0);
+  for (std::ptrdiff_t Distance = 0; Distance <= MaxDifferences; ++Distance) {
+    Trace.push_back(Furthest);
+    if (advance(Furthest, Distance)) {
       return backtrack();
     }
   }
   return {};
 }
 
-/// The edit that replaces what lies between two unchanged lines.
-LineEdit editBetween(const Lines &From, const Lines &To, Point Start,
+/// The edit that replaces the lines between two unchanged lines.
+LineEdit editBetween(const Lines &OldLines, const Lines &NewLines, Point Start,
                      Point End) {
   LineEdit Edit;
   Edit.Line = static_cast<std::uint32_t>(Start.X + 1);
   if (Start.X > 0) {
-    Edit.Above = From[std::size_t(Start.X - 1)];
+    Edit.Above = OldLines[std::size_t(Start.X - 1)];
   }
-  Edit.Old.assign(From.begin() + Start.X, From.begin() + End.X);
-  Edit.New.assign(To.begin() + Start.Y, To.begin() + End.Y);
+  Edit.Old.assign(OldLines.begin() + Start.X, OldLines.begin() + End.X);
+  Edit.New.assign(NewLines.begin() + Start.Y, NewLines.begin() + End.Y);
   return Edit;
 }
 
 } // namespace
 
-std::vector<LineEdit> diffTexts(std::string_view FromText,
-                                std::string_view ToText) {
-  const Lines From = splitLines(FromText);
-  const Lines To = splitLines(ToText);
-  std::vector<Point> Equal = Search(From, To).equalLines();
-  Equal.push_back({std::ssize(From), std::ssize(To)});
+std::vector<LineEdit> diffTexts(std::string_view OldText,
+                                std::string_view NewText) {
+  const Lines OldLines = splitLines(OldText);
+  const Lines NewLines = splitLines(NewText);
+  std::vector<Point> EqualPoints = MyersDiff(OldLines, NewLines).equalLines();
+  EqualPoints.push_back({std::ssize(OldLines), std::ssize(NewLines)});
   std::vector<LineEdit> Edits;
   Point Start;
-  for (const Point &Same : Equal) {
-    if (Same.X > Start.X || Same.Y > Start.Y) {
-      Edits.push_back(editBetween(From, To, Start, Same));
+  for (const Point &Match : EqualPoints) {
+    if (Match.X > Start.X || Match.Y > Start.Y) {
+      Edits.push_back(editBetween(OldLines, NewLines, Start, Match));
     }
-    Start = {Same.X + 1, Same.Y + 1};
+    Start = {Match.X + 1, Match.Y + 1};
   }
   return Edits;
 }
--- a/Source/Rules/Edits.cpp
+++ b/Source/Rules/Edits.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Applying line edits to a text that may have moved on.
+/// Applies line edits to a text that may have changed since they were made.
 
 #include "TextLines.h"
 #include "balsamlatch/Rules/Change.h"
@@ -14,92 +14,104 @@
 
 using Lines = std::vector<std::string_view>;
 
-/// Where an edit goes: replaces Count lines from Start on.
-struct Placed {
+/// An edit at its place in the text: replaces Count lines from index Start.
+struct Replacement {
   std::size_t Start = 0;
   std::size_t Count = 0;
   const std::vector<std::string> *New = nullptr;
 };
 
-/// Finds the places of edits, none of which may overlap.
-class Placer {
+/// Finds the places of edits in the text. Replaced lines never overlap.
+class EditPlacer {
 public:
-  explicit Placer(const Lines &All) : Text(All) {}
+  explicit EditPlacer(const Lines &TextLines) : Text(TextLines) {}
 
-  /// False if the expected lines don't stand anywhere.
-  bool place(const LineEdit &Edit);
+  /// Finds and records the place of the edit. False if the text doesn't have
+  /// the expected lines.
+  bool tryPlace(const LineEdit &Edit);
+  /// The text with all recorded edits applied.
   std::string apply();
-  std::string conflict(const LineEdit &Edit) const;
+  /// Names the expected lines that the text doesn't have.
+  std::string describeConflict(const LineEdit &Edit) const;
 
 private:
-  std::optional<std::size_t> nearest(std::size_t Wanted, std::size_t Last,
-                                     const auto &Fits) const;
-  bool stands(const std::vector<std::string> &Run, std::size_t At) const;
-  std::size_t insertionPlace(const LineEdit &Edit) const;
+  std::optional<std::size_t> findNearest(std::size_t Preferred,
+                                         std::size_t MaxIndex,
+                                         const auto &IsMatch) const;
+  /// Whether the expected lines are at the index, in no recorded replacement.
+  bool matchesAt(const std::vector<std::string> &ExpectedLines,
+                 std::size_t Index) const;
+  std::size_t insertionIndex(const LineEdit &Edit) const;
 
   const Lines &Text;
-  std::vector<Placed> Places;
+  std::vector<Replacement> Replacements;
 };
 
-/// The place from 0 to \p Last nearest to \p Wanted that fits; the earlier of
-/// two at equal distance.
-std::optional<std::size_t> Placer::nearest(std::size_t Wanted, std::size_t Last,
-                                           const auto &Fits) const {
-  Wanted = std::min(Wanted, Last);
-  for (std::size_t Distance = 0; Distance <= Last; ++Distance) {
-    if (Distance <= Wanted && Fits(Wanted - Distance)) {
-      return Wanted - Distance;
+/// The index from 0 to \p MaxIndex nearest to \p Preferred for which \p IsMatch
+/// holds; the lower of two at equal distance.
+std::optional<std::size_t> EditPlacer::findNearest(std::size_t Preferred,
+                                                   std::size_t MaxIndex,
+                                                   const auto &IsMatch) const {
+  Preferred = std::min(Preferred, MaxIndex);
+  for (std::size_t Distance = 0; Distance <= MaxIndex; ++Distance) {
+    if (Distance <= Preferred && IsMatch(Preferred - Distance)) {
+      return Preferred - Distance;
     }
-    if (Wanted + Distance <= Last && Fits(Wanted + Distance)) {
-      return Wanted + Distance;
+    if (Preferred + Distance <= MaxIndex && IsMatch(Preferred + Distance)) {
+      return Preferred + Distance;
     }
   }
   return std::nullopt;
 }
 
-bool Placer::stands(const std::vector<std::string> &Run, std::size_t At) const {
-  if (!std::equal(Run.begin(), Run.end(), Text.begin() + std::ptrdiff_t(At))) {
+bool EditPlacer::matchesAt(const std::vector<std::string> &ExpectedLines,
+                           std::size_t Index) const {
+  if (!std::equal(ExpectedLines.begin(), ExpectedLines.end(),
+                  Text.begin() + std::ptrdiff_t(Index))) {
     return false;
   }
-  return std::none_of(Places.begin(), Places.end(), [&](const Placed &P) {
-    return At < P.Start + P.Count && P.Start < At + Run.size();
-  });
+  return std::none_of(Replacements.begin(), Replacements.end(),
+                      [&](const Replacement &P) {
+                        return Index < P.Start + P.Count &&
+                               P.Start < Index + ExpectedLines.size();
+                      });
 }
 
-std::size_t Placer::insertionPlace(const LineEdit &Edit) const {
-  const std::size_t Wanted = Edit.Line > 0 ? Edit.Line - 1 : 0;
-  if (Wanted == 0) {
+std::size_t EditPlacer::insertionIndex(const LineEdit &Edit) const {
+  const std::size_t Preferred = Edit.Line > 0 ? Edit.Line - 1 : 0;
+  if (Preferred == 0) {
     return 0;
   }
-  const std::optional<std::size_t> Found =
-      nearest(Wanted, Text.size(), [&](std::size_t At) {
-        return At > 0 && Text[At - 1] == Edit.Above;
+  const std::optional<std::size_t> Match =
+      findNearest(Preferred, Text.size(), [&](std::size_t Index) {
+        return Index > 0 && Text[Index - 1] == Edit.Above;
       });
-  return Found.value_or(std::min(Wanted, Text.size()));
+  return Match.value_or(std::min(Preferred, Text.size()));
 }
 
-bool Placer::place(const LineEdit &Edit) {
+bool EditPlacer::tryPlace(const LineEdit &Edit) {
   if (Edit.Old.empty()) {
-    std::size_t At = insertionPlace(Edit);
-    for (const Placed &P : Places) {
-      At = P.Start < At && At < P.Start + P.Count ? P.Start + P.Count : At;
+    std::size_t Index = insertionIndex(Edit);
+    for (const Replacement &P : Replacements) {
+      Index = P.Start < Index && Index < P.Start + P.Count ? P.Start + P.Count
+                                                           : Index;
     }
-    Places.push_back({At, 0, &Edit.New});
+    Replacements.push_back({Index, 0, &Edit.New});
     return true;
   }
   if (Edit.Old.size() > Text.size()) {
     return false;
   }
-  const std::optional<std::size_t> Found =
-      nearest(Edit.Line > 0 ? Edit.Line - 1 : 0, Text.size() - Edit.Old.size(),
-              [&](std::size_t At) { return stands(Edit.Old, At); });
-  if (Found) {
-    Places.push_back({*Found, Edit.Old.size(), &Edit.New});
+  const std::optional<std::size_t> Match = findNearest(
+      Edit.Line > 0 ? Edit.Line - 1 : 0, Text.size() - Edit.Old.size(),
+      [&](std::size_t Index) { return matchesAt(Edit.Old, Index); });
+  if (Match) {
+    Replacements.push_back({*Match, Edit.Old.size(), &Edit.New});
   }
-  return Found.has_value();
+  return Match.has_value();
 }
 
-std::string Placer::conflict(const LineEdit &Edit) const {
+std::string EditPlacer::describeConflict(const LineEdit &Edit) const {
   for (std::size_t I = 0; I < Edit.Old.size(); ++I) {
     if (std::find(Text.begin(), Text.end(), Edit.Old[I]) == Text.end()) {
       return fmt::format("line {} no longer stands: {}", Edit.Line + I,
@@ -111,65 +123,67 @@
                      Edit.Old.front());
 }
 
-std::string Placer::apply() {
-  std::stable_sort(
-      Places.begin(), Places.end(), [](const Placed &A, const Placed &B) {
-        return A.Start != B.Start ? A.Start < B.Start : A.Count < B.Count;
-      });
-  std::string Out;
-  const auto Add = [&Out](std::string_view Line) {
-    Out += Line;
-    Out += '\n';
+std::string EditPlacer::apply() {
+  std::stable_sort(Replacements.begin(), Replacements.end(),
+                   [](const Replacement &A, const Replacement &B) {
+                     return A.Start != B.Start ? A.Start < B.Start
+                                               : A.Count < B.Count;
+                   });
+  std::string Result;
+  const auto AppendLine = [&Result](std::string_view Line) {
+    Result += Line;
+    Result += '\n';
   };
-  std::size_t At = 0;
-  for (const Placed &P : Places) {
-    for (; At < P.Start; ++At) {
-      Add(Text[At]);
+  std::size_t Index = 0;
+  for (const Replacement &P : Replacements) {
+    for (; Index < P.Start; ++Index) {
+      AppendLine(Text[Index]);
     }
     for (const std::string &Line : *P.New) {
-      Add(Line);
+      AppendLine(Line);
     }
-    At += P.Count;
+    Index += P.Count;
   }
-  for (; At < Text.size(); ++At) {
-    Add(Text[At]);
+  for (; Index < Text.size(); ++Index) {
+    AppendLine(Text[Index]);
   }
-  return Out;
+  return Result;
 }
 
 } // namespace
 
 EditResult applyEdits(std::string_view Text,
                       const std::vector<LineEdit> &Edits) {
-  const Lines All = splitLines(Text);
-  Placer Places(All);
+  const Lines TextLines = splitLines(Text);
+  EditPlacer LinePlacer(TextLines);
   EditResult Result;
-  // Replacements first: they have one right place, insertions give way.
-  for (const bool Insertions : {false, true}) {
+  // Replacements first, as they need their expected lines; an insertion can
+  // move to the end of a replacement.
+  for (const bool InsertionPass : {false, true}) {
     for (const LineEdit &Edit : Edits) {
-      if (Edit.Old.empty() == Insertions && !Places.place(Edit)) {
-        Result.Conflicts.push_back({Edit, Places.conflict(Edit)});
+      if (Edit.Old.empty() == InsertionPass && !LinePlacer.tryPlace(Edit)) {
+        Result.Conflicts.push_back({Edit, LinePlacer.describeConflict(Edit)});
       }
     }
   }
   if (Result.Conflicts.empty()) {
-    Result.Text = Places.apply();
+    Result.Text = LinePlacer.apply();
   }
   return Result;
 }
 
 std::string renderEdits(const std::vector<LineEdit> &Edits) {
-  std::string Out;
+  std::string Listing;
   for (const LineEdit &Edit : Edits) {
-    Out += fmt::format("@ line {}\n", Edit.Line);
+    Listing += fmt::format("@ line {}\n", Edit.Line);
     for (const std::string &Line : Edit.Old) {
-      Out += fmt::format("- {}\n", Line);
+      Listing += fmt::format("- {}\n", Line);
     }
     for (const std::string &Line : Edit.New) {
-      Out += fmt::format("+ {}\n", Line);
+      Listing += fmt::format("+ {}\n", Line);
     }
   }
-  return Out;
+  return Listing;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/HeadVerifier.cpp
+++ b/Source/Rules/HeadVerifier.cpp
@@ -1,10 +1,11 @@
 /// \file
-/// Verifying the latest version from the head and base documents alone.
+/// Verifies the latest version from the head and base documents alone.
 ///
-/// Both owners attest every version up to some anchor: by signing a change
-/// based on it, or by landing it. The chain hash covers the text of each
-/// version, so what both attest binds the base document too. The versions
-/// after the anchor carry both signatures themselves.
+/// An owner attests a version and all earlier ones by signing a change based on
+/// it, or by landing it. The anchor is the latest version that both owners of a
+/// trusted pair attest. The chain hash covers the text of each version, so
+/// these signatures also authenticate the base document. Each version after the
+/// anchor is verified by the signatures of its own change.
 
 #include "ChainSignatures.h"
 #include "balsamlatch/Rules/Chain.h"
@@ -16,37 +17,39 @@
 
 namespace {
 
-/// Verifies and applies the head's changes that are later than the state.
-absl::StatusOr<ChainState> applyLater(const HeadDocument &Head,
-                                      ChainState State) {
-  for (const LandedChange &Landed : Head.Changes) {
-    if (Landed.Version <= State.version()) {
+/// Verifies and applies the changes of the head that are newer than the state.
+absl::StatusOr<ChainState> applyNewerChanges(const HeadDocument &Head,
+                                             ChainState State) {
+  for (const LandedChange &Entry : Head.Changes) {
+    if (Entry.Version <= State.version()) {
       continue;
     }
-    absl::StatusOr<ChainState> Next = State.next(Landed);
-    if (!Next.ok()) {
-      return Next;
+    absl::StatusOr<ChainState> NextState = State.next(Entry);
+    if (!NextState.ok()) {
+      return NextState;
     }
-    State = *std::move(Next);
+    State = *std::move(NextState);
   }
   return State;
 }
 
-/// The pairs of keys that can be trusted on the word of the pair before.
-std::vector<OwnerKeys> trustedPairs(const HeadDocument &Head,
-                                    const OwnerKeys &Trusted) {
+/// The trusted pair of keys and each later pair whose change of keys is signed
+/// by the pair before it and by the new keys.
+std::vector<OwnerKeys> trustedOwnerKeys(const HeadDocument &Head,
+                                        const OwnerKeys &Trusted) {
   std::vector<OwnerKeys> Pairs{Trusted};
-  for (const LandedChange &Landed : Head.KeyChanges) {
-    const std::vector<PublicKey> &New = Landed.Subject.Content.NewOwners;
-    if (New.size() != 2 || New[0] == New[1]) {
+  for (const LandedChange &Entry : Head.KeyChanges) {
+    const std::vector<PublicKey> &NewKeys = Entry.Subject.Content.NewOwners;
+    if (NewKeys.size() != 2 || NewKeys[0] == NewKeys[1]) {
       continue;
     }
-    const OwnerKeys After = ownerKeys(New[0], New[1]);
-    const std::vector<PublicKey> Signers = requiredKeys(Pairs.back(), After);
+    const OwnerKeys KeyPair = ownerKeys(NewKeys[0], NewKeys[1]);
+    const std::vector<PublicKey> Signers =
+        requiredSigners(Pairs.back(), KeyPair);
     if (std::all_of(Signers.begin(), Signers.end(), [&](const PublicKey &Key) {
-          return approvedBy(Landed.Subject, Key);
+          return approvedBy(Entry.Subject, Key);
         })) {
-      Pairs.push_back(After);
+      Pairs.push_back(KeyPair);
     }
   }
   return Pairs;
@@ -54,100 +57,109 @@
 
 } // namespace
 
-/// Looks for the anchor among the versions that follow from a base document.
+/// Finds the anchor among the version of the base document and the later ones,
+/// and verifies the head from there.
 class HeadVerifier {
 public:
-  HeadVerifier(const HeadDocument &Document, ChainState Start)
-      : Head(Document), States{std::move(Start)} {}
-
-  absl::Status followAll();
-  /// Latest version that both owners of the pair attest; 0 without.
-  RulesVersion attestedBy(const OwnerKeys &Pair) const;
+  HeadVerifier(const HeadDocument &Document, ChainState BaseState)
+      : Head(Document), States{std::move(BaseState)} {}
+
+  /// Applies the changes of the head without verifying their signatures.
+  absl::Status applyChanges();
+  /// The latest version that both owners of the pair attest; 0 if there is
+  /// none.
+  RulesVersion latestAttested(const OwnerKeys &Pair) const;
+  /// Verifies the signatures of all changes after the anchor.
   absl::StatusOr<ChainState> verifyFrom(RulesVersion Anchor) const;
 
-  /// Whether the base document's steps reach as far back as they must.
-  static absl::Status checkReach(const HeadDocument &Head,
-                                 const BaseDocument &Base);
+  /// Checks that the base document has the steps of the last MaxBaseAge
+  /// versions, or all back to the first version.
+  static absl::Status checkBaseHistory(const HeadDocument &Head,
+                                       const BaseDocument &Base);
 
 private:
-  RulesVersion attestedBy(const PublicKey &Key) const;
+  RulesVersion latestAttested(const PublicKey &Key) const;
   const ChainState &latest() const { return States.back(); }
 
   const HeadDocument &Head;
-  // Invariant: the base's state, then one state for each later version of the
-  // head, without gaps.
+  // Invariant: the state of the base document, then one state for each later
+  // version of the head, without gaps.
   std::vector<ChainState> States;
 };
 
-absl::Status HeadVerifier::checkReach(const HeadDocument &Head,
-                                      const BaseDocument &Base) {
-  const Genesis &First = Head.First;
-  if (First.Version == RulesVersion() || Base.Version < First.Version) {
-    return absl::DataLossError("the base document is before the first version");
+absl::Status HeadVerifier::checkBaseHistory(const HeadDocument &Head,
+                                            const BaseDocument &Base) {
+  const Genesis &FirstVersion = Head.First;
+  if (FirstVersion.Version == RulesVersion() ||
+      Base.Version < FirstVersion.Version) {
+    return absl::DataLossError(
+        "the base document is older than the first version");
   }
-  const std::uint64_t Age = Base.Version.Value - First.Version.Value;
+  const std::uint64_t Age = Base.Version.Value - FirstVersion.Version.Value;
   if (Base.Steps.size() != std::min(Age, MaxBaseAge)) {
     return absl::DataLossError("the base document's steps are incomplete");
   }
   if (Age > MaxBaseAge) {
     return absl::OkStatus();
   }
-  const bool TextOfFirst =
-      !Base.Steps.empty() || sha256(Base.Text) == First.TextHash;
-  if (Base.StartChain != genesisChain(First) || !TextOfFirst) {
+  const bool FirstTextMatches =
+      !Base.Steps.empty() || sha256(Base.Text) == FirstVersion.TextHash;
+  if (Base.StartChain != genesisChainHash(FirstVersion) || !FirstTextMatches) {
     return absl::DataLossError(
         "the base document doesn't lead back to the first version");
   }
   return absl::OkStatus();
 }
 
-absl::Status HeadVerifier::followAll() {
-  for (const LandedChange &Landed : Head.Changes) {
-    if (Landed.Version <= latest().version()) {
+absl::Status HeadVerifier::applyChanges() {
+  for (const LandedChange &Entry : Head.Changes) {
+    if (Entry.Version <= latest().version()) {
       continue;
     }
-    absl::StatusOr<ChainState> Next = latest().follow(Landed.Subject);
-    if (!Next.ok()) {
-      return Next.status();
+    absl::StatusOr<ChainState> NextState =
+        latest().applyWithoutSignatures(Entry.Subject);
+    if (!NextState.ok()) {
+      return NextState.status();
     }
-    if (Next->version() != Landed.Version) {
-      return absl::DataLossError("the head leaves out versions");
+    if (NextState->version() != Entry.Version) {
+      return absl::DataLossError("the head skips versions");
     }
-    States.push_back(*std::move(Next));
+    States.push_back(*std::move(NextState));
   }
   return absl::OkStatus();
 }
 
-RulesVersion HeadVerifier::attestedBy(const PublicKey &Key) const {
-  RulesVersion Best;
-  const ChainState &Start = States.front();
-  if (Start.version() == Head.First.Version &&
-      signedBy(Head.First.Approvals, Key, genesisMessage(Head.First))) {
-    Best = Start.version();
+RulesVersion HeadVerifier::latestAttested(const PublicKey &Key) const {
+  RulesVersion Latest;
+  const ChainState &BaseState = States.front();
+  if (BaseState.version() == Head.First.Version &&
+      hasValidSignature(Head.First.Approvals, Key,
+                        genesisMessage(Head.First))) {
+    Latest = BaseState.version();
   }
-  for (const LandedChange &Landed : Head.Changes) {
-    const Digest *Chain = latest().chainAt(Landed.Version);
-    if (Chain != nullptr && Landed.Landing.Key == Key &&
-        verifySignature(Key, landingMessage(*Chain), Landed.Landing.Signed)) {
-      Best = std::max(Best, Landed.Version);
+  for (const LandedChange &Entry : Head.Changes) {
+    const Digest *Chain = latest().chainHashAt(Entry.Version);
+    if (Chain != nullptr && Entry.Landing.Key == Key &&
+        verifySignature(Key, landingMessage(*Chain), Entry.Landing.Signed)) {
+      Latest = std::max(Latest, Entry.Version);
     }
-    const Change &Content = Landed.Subject.Content;
-    const Digest *BaseChain = latest().chainAt(Content.Base);
-    if (Content.Base > Best && BaseChain != nullptr &&
-        *BaseChain == Content.BaseChain && approvedBy(Landed.Subject, Key)) {
-      Best = Content.Base;
+    const Change &Content = Entry.Subject.Content;
+    const Digest *BaseChain = latest().chainHashAt(Content.Base);
+    if (Content.Base > Latest && BaseChain != nullptr &&
+        *BaseChain == Content.BaseChain && approvedBy(Entry.Subject, Key)) {
+      Latest = Content.Base;
     }
   }
-  return Best;
+  return Latest;
 }
 
-RulesVersion HeadVerifier::attestedBy(const OwnerKeys &Pair) const {
-  return std::min(attestedBy(Pair[0]), attestedBy(Pair[1]));
+RulesVersion HeadVerifier::latestAttested(const OwnerKeys &Pair) const {
+  return std::min(latestAttested(Pair[0]), latestAttested(Pair[1]));
 }
 
 absl::StatusOr<ChainState> HeadVerifier::verifyFrom(RulesVersion Anchor) const {
-  return applyLater(Head,
-                    States[Anchor.Value - States.front().version().Value]);
+  return applyNewerChanges(
+      Head, States[Anchor.Value - States.front().version().Value]);
 }
 
 absl::StatusOr<ChainState> verifyHead(const HeadDocument &Head,
@@ -159,20 +171,20 @@
                     "to {}",
                     Base.Version.Value, Head.Base.Value, Head.version().Value));
   }
-  absl::Status Reach = HeadVerifier::checkReach(Head, Base);
-  absl::StatusOr<ChainState> Start =
-      Reach.ok() ? ChainState::fromBase(Base) : Reach;
-  if (!Start.ok()) {
-    return Start;
+  absl::Status Status = HeadVerifier::checkBaseHistory(Head, Base);
+  absl::StatusOr<ChainState> BaseState =
+      Status.ok() ? ChainState::fromBase(Base) : Status;
+  if (!BaseState.ok()) {
+    return BaseState;
   }
-  HeadVerifier Verifier(Head, *std::move(Start));
-  Reach = Verifier.followAll();
-  if (!Reach.ok()) {
-    return Reach;
+  HeadVerifier Verifier(Head, *std::move(BaseState));
+  Status = Verifier.applyChanges();
+  if (!Status.ok()) {
+    return Status;
   }
   RulesVersion Anchor;
-  for (const OwnerKeys &Pair : trustedPairs(Head, Trusted)) {
-    Anchor = std::max(Anchor, Verifier.attestedBy(Pair));
+  for (const OwnerKeys &Pair : trustedOwnerKeys(Head, Trusted)) {
+    Anchor = std::max(Anchor, Verifier.latestAttested(Pair));
   }
   if (Anchor < Base.Version) {
     return absl::PermissionDeniedError(
@@ -182,11 +194,11 @@
 }
 
 absl::StatusOr<ChainState> followHead(const HeadDocument &Head,
-                                      const ChainState &From) {
-  if (From.version() < Head.Base) {
+                                      const ChainState &Verified) {
+  if (Verified.version() < Head.Base) {
     return absl::OutOfRangeError("the head starts after the version in force");
   }
-  return applyLater(Head, From);
+  return applyNewerChanges(Head, Verified);
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/Keys.cpp
+++ b/Source/Rules/Keys.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Ed25519 and SHA-256 by OpenSSL, and key files.
+/// Implements Ed25519 and SHA-256 with OpenSSL, and key files.
 
 #include "balsamlatch/Rules/Keys.h"
 
@@ -18,40 +18,41 @@
 namespace {
 
 constexpr mode_t KeyFileMode = S_IRUSR | S_IWUSR;
-constexpr mode_t OthersMode = S_IRWXG | S_IRWXO;
+constexpr mode_t GroupAndOtherMode = S_IRWXG | S_IRWXO;
 constexpr std::size_t MaxKeyFileBytes = 4096;
 
 using ContextPtr = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
 using BufferPtr = std::unique_ptr<BIO, decltype(&BIO_free)>;
 
-/// A file descriptor that closes itself.
-class File {
+/// Owns a file descriptor and closes it on destruction.
+class FileDescriptor {
 public:
-  explicit File(int Descriptor) : Fd(Descriptor) {}
-  ~File() {
+  explicit FileDescriptor(int Descriptor) : Fd(Descriptor) {}
+  ~FileDescriptor() {
     if (Fd >= 0) {
       ::close(Fd);
     }
   }
-  File(const File &) = delete;
-  File &operator=(const File &) = delete;
+  FileDescriptor(const FileDescriptor &) = delete;
+  FileDescriptor &operator=(const FileDescriptor &) = delete;
 
-  bool open() const { return Fd >= 0; }
+  bool isOpen() const { return Fd >= 0; }
   int descriptor() const { return Fd; }
 
 private:
   int Fd;
 };
 
-const unsigned char *bytesOf(std::string_view Text) {
+const unsigned char *asBytes(std::string_view Text) {
   return reinterpret_cast<const unsigned char *>(Text.data());
 }
 
-EVP_PKEY *keyOf(const std::shared_ptr<void> &Handle) {
+EVP_PKEY *nativeKey(const std::shared_ptr<void> &Handle) {
   return static_cast<EVP_PKEY *>(Handle.get());
 }
 
-std::shared_ptr<void> own(EVP_PKEY *Key) {
+/// Takes ownership of the key.
+std::shared_ptr<void> makeKeyHandle(EVP_PKEY *Key) {
   return {Key, [](void *P) { EVP_PKEY_free(static_cast<EVP_PKEY *>(P)); }};
 }
 
@@ -70,7 +71,7 @@
 
 Digest sha256(std::string_view Text) {
   Digest Result;
-  SHA256(bytesOf(Text), Text.size(), Result.Bytes.data());
+  SHA256(asBytes(Text), Text.size(), Result.Bytes.data());
   return Result;
 }
 
@@ -101,29 +102,30 @@
 }
 
 bool verifySignature(const PublicKey &Key, std::string_view Message,
-                     const Signature &Signed) {
-  const std::shared_ptr<void> Handle = own(EVP_PKEY_new_raw_public_key(
-      EVP_PKEY_ED25519, nullptr, Key.Bytes.data(), Key.Bytes.size()));
+                     const Signature &SignatureValue) {
+  const std::shared_ptr<void> Handle =
+      makeKeyHandle(EVP_PKEY_new_raw_public_key(
+          EVP_PKEY_ED25519, nullptr, Key.Bytes.data(), Key.Bytes.size()));
   const ContextPtr Context(EVP_MD_CTX_new(), &EVP_MD_CTX_free);
   return Handle && Context &&
          EVP_DigestVerifyInit(Context.get(), nullptr, nullptr, nullptr,
-                              keyOf(Handle)) == 1 &&
-         EVP_DigestVerify(Context.get(), Signed.Bytes.data(),
-                          Signed.Bytes.size(), bytesOf(Message),
+                              nativeKey(Handle)) == 1 &&
+         EVP_DigestVerify(Context.get(), SignatureValue.Bytes.data(),
+                          SignatureValue.Bytes.size(), asBytes(Message),
                           Message.size()) == 1;
 }
 
 PrivateKey::PrivateKey(std::shared_ptr<void> Key) : Handle(std::move(Key)) {
   std::size_t Size = Public.Bytes.size();
-  EVP_PKEY_get_raw_public_key(keyOf(Handle), Public.Bytes.data(), &Size);
+  EVP_PKEY_get_raw_public_key(nativeKey(Handle), Public.Bytes.data(), &Size);
 }
 
 absl::StatusOr<PrivateKey> PrivateKey::generate() {
   EVP_PKEY *Key = EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519");
   if (Key == nullptr) {
-    return absl::InternalError("no key could be generated");
+    return absl::InternalError("could not generate a key");
   }
-  return PrivateKey(own(Key));
+  return PrivateKey(makeKeyHandle(Key));
 }
 
 absl::StatusOr<PrivateKey>
@@ -131,24 +133,25 @@
   EVP_PKEY *Key = EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr,
                                                Seed.data(), Seed.size());
   if (Key == nullptr) {
-    return absl::InternalError("no key could be made of the seed");
+    return absl::InternalError("could not create a key from the seed");
   }
-  return PrivateKey(own(Key));
+  return PrivateKey(makeKeyHandle(Key));
 }
 
 Signature PrivateKey::sign(std::string_view Message) const {
   Signature Result;
   std::size_t Size = Result.Bytes.size();
   const ContextPtr Context(EVP_MD_CTX_new(), &EVP_MD_CTX_free);
-  EVP_DigestSignInit(Context.get(), nullptr, nullptr, nullptr, keyOf(Handle));
-  EVP_DigestSign(Context.get(), Result.Bytes.data(), &Size, bytesOf(Message),
+  EVP_DigestSignInit(Context.get(), nullptr, nullptr, nullptr,
+                     nativeKey(Handle));
+  EVP_DigestSign(Context.get(), Result.Bytes.data(), &Size, asBytes(Message),
                  Message.size());
   return Result;
 }
 
 std::string PrivateKey::pem() const {
   const BufferPtr Buffer(BIO_new(BIO_s_mem()), &BIO_free);
-  PEM_write_bio_PrivateKey(Buffer.get(), keyOf(Handle), nullptr, nullptr, 0,
+  PEM_write_bio_PrivateKey(Buffer.get(), nativeKey(Handle), nullptr, nullptr, 0,
                            nullptr, nullptr);
   char *Data = nullptr;
   const long Size = BIO_get_mem_data(Buffer.get(), &Data);
@@ -156,35 +159,36 @@
 }
 
 absl::Status writeKeyFile(const std::string &Path, const PrivateKey &Key) {
-  const File Out(::open(Path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC,
-                        KeyFileMode));
-  if (!Out.open()) {
+  const FileDescriptor KeyFile(::open(
+      Path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, KeyFileMode));
+  if (!KeyFile.isOpen()) {
     return fileError(Path);
   }
   const std::string Text = Key.pem();
-  const ssize_t Written = ::write(Out.descriptor(), Text.data(), Text.size());
+  const ssize_t Written =
+      ::write(KeyFile.descriptor(), Text.data(), Text.size());
   if (Written != static_cast<ssize_t>(Text.size()) ||
-      ::fsync(Out.descriptor()) != 0) {
+      ::fsync(KeyFile.descriptor()) != 0) {
     return fileError(Path);
   }
   return absl::OkStatus();
 }
 
 absl::StatusOr<PrivateKey> readKeyFile(const std::string &Path) {
-  const File In(::open(Path.c_str(), O_RDONLY | O_CLOEXEC));
-  struct stat About {};
-  if (!In.open() || ::fstat(In.descriptor(), &About) != 0) {
+  const FileDescriptor KeyFile(::open(Path.c_str(), O_RDONLY | O_CLOEXEC));
+  struct stat FileStatus {};
+  if (!KeyFile.isOpen() || ::fstat(KeyFile.descriptor(), &FileStatus) != 0) {
     return fileError(Path);
   }
-  if ((About.st_mode & OthersMode) != 0) {
+  if ((FileStatus.st_mode & GroupAndOtherMode) != 0) {
     return absl::PermissionDeniedError(
         fmt::format("{}: others may use this key file (mode {:04o}); run "
                     "chmod 600 on it, and change the key if others could "
                     "read it",
-                    Path, About.st_mode & 07777U));
+                    Path, FileStatus.st_mode & 07777U));
   }
   std::array<char, MaxKeyFileBytes> Text{};
-  const ssize_t Size = ::read(In.descriptor(), Text.data(), Text.size());
+  const ssize_t Size = ::read(KeyFile.descriptor(), Text.data(), Text.size());
   if (Size < 0) {
     return fileError(Path);
   }
@@ -197,7 +201,7 @@
     return absl::InvalidArgumentError(
         fmt::format("{}: no private Ed25519 key in PEM", Path));
   }
-  return PrivateKey(own(Key));
+  return PrivateKey(makeKeyHandle(Key));
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/Landing.cpp
+++ b/Source/Rules/Landing.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Making the next documents of the chain.
+/// Builds the head and base documents for a new chain or a landed change.
 
 #include "balsamlatch/Rules/Landing.h"
 
@@ -15,80 +15,86 @@
 
 namespace {
 
-/// Beyond so many bytes a head is cut back early.
-constexpr std::size_t HeadBytesWanted = 200'000;
-constexpr std::string_view CheckedName = "rules";
+/// A head of at least this many bytes is compacted before it has
+/// HeadCompactionChanges changes.
+constexpr std::size_t HeadCompactionBytes = 200'000;
+constexpr std::string_view RulesFileName = "rules";
 
 absl::Status checkText(std::string_view Text) {
-  const ParsedRules Parsed = parseRules(CheckedName, Text);
+  const ParsedRules Parsed = parseRules(RulesFileName, Text);
   return Parsed.Problems.hasErrors()
              ? absl::InvalidArgumentError(Parsed.Problems.render())
              : absl::OkStatus();
 }
 
-/// The head and base document that start from a later version, if both owners
-/// attest it.
-absl::StatusOr<ChainView> cutAt(const ChainView &View, RulesVersion NewBase) {
-  HeadDocument Older = View.Head;
-  std::erase_if(Older.Changes, [&](const LandedChange &Landed) {
-    return Landed.Version > NewBase;
+/// Moves the base to a later version and drops the changes before it from the
+/// head. Fails unless both owners attest that version.
+absl::StatusOr<ChainView> compactAt(const ChainView &View,
+                                    RulesVersion NewBase) {
+  HeadDocument BaseHead = View.Head;
+  std::erase_if(BaseHead.Changes, [&](const LandedChange &Entry) {
+    return Entry.Version > NewBase;
   });
-  ChainView Cut = View;
-  std::erase_if(Cut.Head.Changes, [&](const LandedChange &Landed) {
-    return Landed.Version <= NewBase;
+  ChainView Compacted = View;
+  std::erase_if(Compacted.Head.Changes, [&](const LandedChange &Entry) {
+    return Entry.Version <= NewBase;
   });
-  Cut.Head.Base = NewBase;
+  Compacted.Head.Base = NewBase;
   const absl::StatusOr<ChainState> State =
-      verifyHead(Older, View.Base, View.Latest.owners());
+      verifyHead(BaseHead, View.Base, View.Latest.owners());
   if (!State.ok()) {
     return State.status();
   }
-  Cut.Base = State->base();
+  Compacted.Base = State->base();
   const absl::StatusOr<ChainState> Latest =
-      verifyHead(Cut.Head, Cut.Base, View.Latest.owners());
-  return Latest.ok() ? absl::StatusOr<ChainView>(std::move(Cut))
+      verifyHead(Compacted.Head, Compacted.Base, View.Latest.owners());
+  return Latest.ok() ? absl::StatusOr<ChainView>(std::move(Compacted))
                      : Latest.status();
 }
 
-/// Cuts the head back to the changes that it should keep, or as near to that
-/// as the owners' signatures allow. What is cut depends only on what is in the
-/// store already, so that racing landings agree on the base document.
-LandingPlan cutBack(const ChainView &View) {
-  if (View.Head.Changes.size() + 1 >= HeadChangesMost ||
-      printHead(View.Head).size() >= HeadBytesWanted) {
+/// Compacts the head to HeadChangesKept changes with the next one, or to the
+/// smallest number above that which the owners' signatures allow. The result
+/// depends only on the documents in the store, so that concurrent landings
+/// agree on the base document.
+LandingPlan compactHead(const ChainView &View) {
+  if (View.Head.Changes.size() + 1 >= HeadCompactionChanges ||
+      printHead(View.Head).size() >= HeadCompactionBytes) {
     const std::uint64_t Latest = View.Latest.version().Value;
-    for (std::uint64_t Kept = HeadChangesKept - 1;
-         Kept < View.Head.Changes.size(); ++Kept) {
-      absl::StatusOr<ChainView> Cut = cutAt(View, RulesVersion(Latest - Kept));
-      if (Cut.ok()) {
-        return {*std::move(Cut), true, {}};
+    for (std::uint64_t KeptCount = HeadChangesKept - 1;
+         KeptCount < View.Head.Changes.size(); ++KeptCount) {
+      absl::StatusOr<ChainView> Compacted =
+          compactAt(View, RulesVersion(Latest - KeptCount));
+      if (Compacted.ok()) {
+        return {*std::move(Compacted), true, {}};
       }
     }
   }
   return {View, false, {}};
 }
 
-/// The changes that \p After no longer has, with the edits that undo them.
-std::vector<RetiredChange> retired(const ChainView &Before,
-                                   const ChainView &After) {
-  std::vector<RetiredChange> Gone;
-  absl::StatusOr<ChainState> State = ChainState::fromBase(Before.Base);
-  for (const LandedChange &Landed : Before.Head.Changes) {
-    if (!State.ok() || Landed.Version > After.Head.Base) {
+/// The changes that are in the head of \p OldView but not in that of
+/// \p NewView, with the edits that undo them.
+std::vector<RetiredChange> retiredChanges(const ChainView &OldView,
+                                          const ChainView &NewView) {
+  std::vector<RetiredChange> Changes;
+  absl::StatusOr<ChainState> State = ChainState::fromBase(OldView.Base);
+  for (const LandedChange &Entry : OldView.Head.Changes) {
+    if (!State.ok() || Entry.Version > NewView.Head.Base) {
       break;
     }
-    if (Landed.Version <= State->version()) {
+    if (Entry.Version <= State->version()) {
       continue;
     }
-    absl::StatusOr<ChainState> Next = State->next(Landed);
-    if (Next.ok()) {
-      Gone.push_back({Landed, diffTexts(Next->text(), State->text())});
+    absl::StatusOr<ChainState> NextState = State->next(Entry);
+    if (NextState.ok()) {
+      Changes.push_back({Entry, diffTexts(NextState->text(), State->text())});
     }
-    State = std::move(Next);
+    State = std::move(NextState);
   }
-  return Gone;
+  return Changes;
 }
 
+/// ResourceExhausted if a document exceeds the maximum size of a store value.
 absl::Status checkSizes(const ChainView &View) {
   const std::size_t Head = printHead(View.Head).size();
   const std::size_t Base = printBase(View.Base).size();
@@ -103,9 +109,9 @@
 
 } // namespace
 
-absl::StatusOr<ChainView> viewChain(std::string_view HeadText,
-                                    std::string_view BaseText,
-                                    const std::optional<OwnerKeys> &Trusted) {
+absl::StatusOr<ChainView>
+viewChain(std::string_view HeadText, std::string_view BaseText,
+          const std::optional<OwnerKeys> &TrustedOwners) {
   absl::StatusOr<HeadDocument> Head = parseHead(HeadText);
   if (!Head.ok()) {
     return Head.status();
@@ -115,7 +121,8 @@
     return Base.status();
   }
   const absl::StatusOr<OwnerKeys> Keys =
-      Trusted ? absl::StatusOr<OwnerKeys>(*Trusted) : ownersOf(Base->Text);
+      TrustedOwners ? absl::StatusOr<OwnerKeys>(*TrustedOwners)
+                    : ownersOf(Base->Text);
   if (!Keys.ok()) {
     return Keys.status();
   }
@@ -129,100 +136,107 @@
 absl::StatusOr<ChainView> startChain(std::string Text, RulesVersion Version,
                                      std::string Nonce, const PrivateKey &A,
                                      const PrivateKey &B) {
-  const absl::Status Checked = checkText(Text);
-  if (!Checked.ok()) {
-    return Checked;
+  const absl::Status TextStatus = checkText(Text);
+  if (!TextStatus.ok()) {
+    return TextStatus;
   }
-  Genesis First{Version, sha256(Text), std::move(Nonce), {}};
+  Genesis FirstVersion{Version, sha256(Text), std::move(Nonce), {}};
   for (const PrivateKey *Key : {&A, &B}) {
-    First.Approvals.push_back(
-        {Key->publicKey(), Key->sign(genesisMessage(First))});
+    FirstVersion.Approvals.push_back(
+        {Key->publicKey(), Key->sign(genesisMessage(FirstVersion))});
   }
-  absl::StatusOr<ChainState> State = ChainState::first(First, std::move(Text));
+  absl::StatusOr<ChainState> State =
+      ChainState::first(FirstVersion, std::move(Text));
   if (!State.ok()) {
     return State.status();
   }
-  ChainView View{
-      {std::move(First), {}, Version, {}}, State->base(), *std::move(State)};
-  const absl::Status Sizes = checkSizes(View);
-  return Sizes.ok() ? absl::StatusOr<ChainView>(std::move(View)) : Sizes;
+  ChainView View{{std::move(FirstVersion), {}, Version, {}},
+                 State->base(),
+                 *std::move(State)};
+  const absl::Status SizeStatus = checkSizes(View);
+  return SizeStatus.ok() ? absl::StatusOr<ChainView>(std::move(View))
+                         : SizeStatus;
 }
 
 absl::StatusOr<Change> makeChange(const ChainView &View, const EditedText &Text,
                                   ProposalNote Note) {
-  const Digest *BaseChain = View.Latest.chainAt(Text.Base);
+  const Digest *BaseChain = View.Latest.chainHashAt(Text.Base);
   if (BaseChain == nullptr) {
-    return absl::FailedPreconditionError(
-        fmt::format("version {} is no base for a change", Text.Base.Value));
-  }
-  Change Subject;
-  Subject.Base = Text.Base;
-  Subject.BaseChain = *BaseChain;
-  Subject.Proposer = std::move(Note.Proposer);
-  Subject.Reason = std::move(Note.Reason);
-  Subject.ProposedAt = Note.ProposedAt;
-  Subject.Nonce = std::move(Note.Nonce);
-  Subject.Edits = diffTexts(Text.Old, Text.New);
-  if (Subject.Edits.empty()) {
+    return absl::FailedPreconditionError(fmt::format(
+        "version {} can't be the base of a change", Text.Base.Value));
+  }
+  Change Proposal;
+  Proposal.Base = Text.Base;
+  Proposal.BaseChain = *BaseChain;
+  Proposal.Proposer = std::move(Note.Proposer);
+  Proposal.Reason = std::move(Note.Reason);
+  Proposal.ProposedAt = Note.ProposedAt;
+  Proposal.Nonce = std::move(Note.Nonce);
+  Proposal.Edits = diffTexts(Text.Old, Text.New);
+  if (Proposal.Edits.empty()) {
     return absl::InvalidArgumentError("the texts don't differ");
   }
-  const EditResult Result = applyEdits(View.Latest.text(), Subject.Edits);
-  const absl::StatusOr<OwnerKeys> After =
+  const EditResult Result = applyEdits(View.Latest.text(), Proposal.Edits);
+  const absl::StatusOr<OwnerKeys> NewOwnerKeys =
       Result.Conflicts.empty() ? ownersOf(Result.Text) : View.Latest.owners();
-  if (!After.ok()) {
-    return After.status();
+  if (!NewOwnerKeys.ok()) {
+    return NewOwnerKeys.status();
   }
-  if (*After != View.Latest.owners()) {
-    Subject.NewOwners.assign(After->begin(), After->end());
+  if (*NewOwnerKeys != View.Latest.owners()) {
+    Proposal.NewOwners.assign(NewOwnerKeys->begin(), NewOwnerKeys->end());
   }
-  const absl::Status Fits = View.Latest.ownersAfter(Subject).status();
-  const absl::Status Checked = Fits.ok() ? checkText(Result.Text) : Fits;
-  return Checked.ok() ? absl::StatusOr<Change>(std::move(Subject)) : Checked;
+  const absl::Status ChangeStatus = View.Latest.ownersAfter(Proposal).status();
+  const absl::Status TextStatus =
+      ChangeStatus.ok() ? checkText(Result.Text) : ChangeStatus;
+  return TextStatus.ok() ? absl::StatusOr<Change>(std::move(Proposal))
+                         : TextStatus;
 }
 
 absl::StatusOr<std::vector<PublicKey>>
-missingSigners(const ChainView &View, const SignedChange &Subject) {
-  const absl::StatusOr<OwnerKeys> After =
-      View.Latest.ownersAfter(Subject.Content);
-  if (!After.ok()) {
-    return After.status();
-  }
-  std::vector<PublicKey> Missing = requiredKeys(View.Latest.owners(), *After);
-  std::erase_if(Missing,
-                [&](const PublicKey &Key) { return approvedBy(Subject, Key); });
+missingSigners(const ChainView &View, const SignedChange &Proposal) {
+  const absl::StatusOr<OwnerKeys> NewOwnerKeys =
+      View.Latest.ownersAfter(Proposal.Content);
+  if (!NewOwnerKeys.ok()) {
+    return NewOwnerKeys.status();
+  }
+  std::vector<PublicKey> Missing =
+      requiredSigners(View.Latest.owners(), *NewOwnerKeys);
+  std::erase_if(
+      Missing, [&](const PublicKey &Key) { return approvedBy(Proposal, Key); });
   return Missing;
 }
 
 absl::StatusOr<LandingPlan> planLanding(const ChainView &View,
-                                        const SignedChange &Subject,
-                                        const PrivateKey &Lander) {
-  const absl::StatusOr<ChainState> Landed = View.Latest.land(Subject);
-  if (!Landed.ok()) {
-    return Landed.status();
+                                        const SignedChange &Proposal,
+                                        const PrivateKey &LandingKey) {
+  const absl::StatusOr<ChainState> LandedState = View.Latest.land(Proposal);
+  if (!LandedState.ok()) {
+    return LandedState.status();
   }
-  const absl::Status Checked = checkText(Landed->text());
-  if (!Checked.ok()) {
-    return Checked;
+  const absl::Status TextStatus = checkText(LandedState->text());
+  if (!TextStatus.ok()) {
+    return TextStatus;
   }
   LandedChange Entry;
-  Entry.Version = Landed->version();
-  Entry.Subject = Subject;
-  Entry.TextHash = Landed->textHash();
-  Entry.Landing = {Lander.publicKey(),
-                   Lander.sign(landingMessage(Landed->chain()))};
+  Entry.Version = LandedState->version();
+  Entry.Subject = Proposal;
+  Entry.TextHash = LandedState->textHash();
+  Entry.Landing = {LandingKey.publicKey(),
+                   LandingKey.sign(landingMessage(LandedState->chain()))};
   absl::StatusOr<ChainState> Latest = View.Latest.next(Entry);
   if (!Latest.ok()) {
     return Latest.status();
   }
-  LandingPlan Plan = cutBack(View);
-  Plan.Retired = retired(View, Plan.View);
+  LandingPlan Plan = compactHead(View);
+  Plan.Retired = retiredChanges(View, Plan.View);
   Plan.View.Latest = *std::move(Latest);
   Plan.View.Head.Changes.push_back(Entry);
-  if (!Subject.Content.NewOwners.empty()) {
+  if (!Proposal.Content.NewOwners.empty()) {
     Plan.View.Head.KeyChanges.push_back(std::move(Entry));
   }
-  const absl::Status Sizes = checkSizes(Plan.View);
-  return Sizes.ok() ? absl::StatusOr<LandingPlan>(std::move(Plan)) : Sizes;
+  const absl::Status SizeStatus = checkSizes(Plan.View);
+  return SizeStatus.ok() ? absl::StatusOr<LandingPlan>(std::move(Plan))
+                         : SizeStatus;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/LineReader.cpp
+++ b/Source/Rules/LineReader.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The cursor over the words of a rule's line.
+/// Implements the tokenizer of rule lines and the cursor over their words.
 
 #include "LineReader.h"
 
@@ -45,56 +45,56 @@
 
 } // namespace
 
-RuleLine splitRuleLine(std::string_view Line, unsigned Number) {
-  RuleLine Split;
-  Split.Whole = Line;
-  Split.Number = Number;
-  const std::size_t Hash = Line.find('#');
-  Split.HasComment = Hash != std::string_view::npos;
-  if (Split.HasComment) {
-    Split.Comment = trim(Line.substr(Hash + 1));
+RuleLine tokenizeRuleLine(std::string_view Line, unsigned Number) {
+  RuleLine Tokens;
+  Tokens.Source = Line;
+  Tokens.Number = Number;
+  const std::size_t CommentStart = Line.find('#');
+  Tokens.HasComment = CommentStart != std::string_view::npos;
+  if (Tokens.HasComment) {
+    Tokens.Comment = trim(Line.substr(CommentStart + 1));
   }
-  const std::string_view Code = Line.substr(0, Hash);
-  std::size_t At = 0;
-  while (At < Code.size()) {
-    if (isBlank(Code[At])) {
-      ++At;
+  const std::string_view RuleText = Line.substr(0, CommentStart);
+  std::size_t Index = 0;
+  while (Index < RuleText.size()) {
+    if (isBlank(RuleText[Index])) {
+      ++Index;
       continue;
     }
-    const std::size_t Start = At;
-    while (At < Code.size() && !isBlank(Code[At])) {
-      ++At;
+    const std::size_t Start = Index;
+    while (Index < RuleText.size() && !isBlank(RuleText[Index])) {
+      ++Index;
     }
-    Split.Words.push_back(
-        {Code.substr(Start, At - Start), static_cast<unsigned>(Start + 1)});
+    Tokens.Words.push_back({RuleText.substr(Start, Index - Start),
+                            static_cast<unsigned>(Start + 1)});
   }
-  return Split;
+  return Tokens;
 }
 
-LineReader::LineReader(const std::string &FileName, const RuleLine &RuleText,
-                       Findings &All)
-    : File(FileName), Line(RuleText), Problems(All) {}
+LineReader::LineReader(const std::string &FileName, const RuleLine &LineTokens,
+                       Findings &FindingList)
+    : File(FileName), Line(LineTokens), Problems(FindingList) {}
 
-std::string_view LineReader::peek() const {
-  if (Failed || Next >= Line.Words.size()) {
+std::string_view LineReader::peekWord() const {
+  if (Failed || NextIndex >= Line.Words.size()) {
     return {};
   }
-  return Line.Words[Next].Text;
+  return Line.Words[NextIndex].Text;
 }
 
-std::string_view LineReader::take() {
+std::string_view LineReader::takeWord() {
   if (Failed) {
     return {};
   }
-  if (Next >= Line.Words.size()) {
+  if (NextIndex >= Line.Words.size()) {
     if (!Line.Words.empty()) {
       const RuleWord &Last = Line.Words.back();
       LastColumn = Last.Column + static_cast<unsigned>(Last.Text.size());
     }
     return {};
   }
-  LastColumn = Line.Words[Next].Column;
-  return Line.Words[Next++].Text;
+  LastColumn = Line.Words[NextIndex].Column;
+  return Line.Words[NextIndex++].Text;
 }
 
 void LineReader::report(unsigned Column, std::string Message,
@@ -103,10 +103,10 @@
                 Severity::Error,
                 std::move(Message),
                 std::move(Remedy),
-                std::string(Line.Whole)});
+                std::string(Line.Source)});
 }
 
-void LineReader::fail(std::string Message) {
+void LineReader::reportFailure(std::string Message) {
   if (Failed) {
     return;
   }
@@ -117,170 +117,181 @@
          Form != nullptr ? fmt::format("write {}", Form->Synopsis) : "");
 }
 
-void LineReader::word(std::string_view Word) {
-  const std::string_view Text = take();
+void LineReader::expectWord(std::string_view Word) {
+  const std::string_view Text = takeWord();
   if (Text != Word) {
-    fail(Text.empty() ? fmt::format("'{}' is missing", Word)
+    reportFailure(Text.empty()
+                      ? fmt::format("'{}' is missing", Word)
                       : fmt::format("'{}' where '{}' is due", Text, Word));
   }
 }
 
-bool LineReader::optionalWord(std::string_view Word) {
-  if (peek() != Word) {
+bool LineReader::consumeWord(std::string_view Word) {
+  if (peekWord() != Word) {
     return false;
   }
-  take();
+  takeWord();
   return true;
 }
 
-std::size_t LineReader::choice(std::initializer_list<std::string_view> Words) {
-  const std::string_view Text = take();
-  const auto *const Found = std::find(Words.begin(), Words.end(), Text);
-  if (Found == Words.end()) {
-    fail(fmt::format("'{}' where '{}' is due", Text,
-                     fmt::join(Words, "' or '")));
+std::size_t
+LineReader::expectChoice(std::initializer_list<std::string_view> Words) {
+  const std::string_view Text = takeWord();
+  const auto *const Match = std::find(Words.begin(), Words.end(), Text);
+  if (Match == Words.end()) {
+    reportFailure(fmt::format("'{}' where '{}' is due", Text,
+                              fmt::join(Words, "' or '")));
     return 0;
   }
-  return static_cast<std::size_t>(Found - Words.begin());
+  return static_cast<std::size_t>(Match - Words.begin());
 }
 
-std::string LineReader::name(std::string_view What) {
-  const std::string_view Text = take();
+std::string LineReader::readName(std::string_view Description) {
+  const std::string_view Text = takeWord();
   if (Text.empty()) {
-    fail(fmt::format("the name of the {} is missing", What));
+    reportFailure(fmt::format("the name of the {} is missing", Description));
     return {};
   }
   if (Text.size() > MaxNameBytes ||
       !std::all_of(Text.begin(), Text.end(), isNameByte)) {
-    fail(fmt::format("'{}' is no name of a {}: use up to {} letters, digits, "
-                     "'-', '_' or '.'",
-                     Text, What, MaxNameBytes));
+    reportFailure(fmt::format(
+        "'{}' is not a valid name of a {}: use up to {} letters, digits, "
+        "'-', '_' or '.'",
+        Text, Description, MaxNameBytes));
     return {};
   }
   return std::string(Text);
 }
 
-std::uint32_t LineReader::number(std::string_view What) {
-  const std::string_view Text = take();
+std::uint32_t LineReader::readNumber(std::string_view Description) {
+  const std::string_view Text = takeWord();
   const absl::StatusOr<std::uint64_t> Value = parseNumber(Text);
   if (!Value.ok() || *Value > MaxCount) {
-    fail(fmt::format("'{}' where {}, a whole number up to {}, is due", Text,
-                     What, MaxCount));
+    reportFailure(fmt::format("'{}' where {}, a whole number up to {}, is due",
+                              Text, Description, MaxCount));
     return 0;
   }
   return static_cast<std::uint32_t>(*Value);
 }
 
-std::uint32_t LineReader::count(std::string_view One, std::string_view Many) {
-  const std::uint32_t Value = number(fmt::format("the number of {}", Many));
+std::uint32_t LineReader::readCount(std::string_view Singular,
+                                    std::string_view Plural) {
+  const std::uint32_t Value =
+      readNumber(fmt::format("the number of {}", Plural));
   if (Value == 0) {
-    fail(fmt::format("the number of {} is zero", Many));
+    reportFailure(fmt::format("the number of {} is zero", Plural));
   }
-  choice({Many, One});
+  expectChoice({Plural, Singular});
   return Value;
 }
 
-std::uint32_t LineReader::percent() {
-  const std::string_view Text = take();
+std::uint32_t LineReader::readPercent() {
+  const std::string_view Text = takeWord();
   absl::StatusOr<std::uint64_t> Value = absl::InvalidArgumentError("");
   if (!Text.empty() && Text.back() == '%') {
     Value = parseNumber(Text.substr(0, Text.size() - 1));
   }
   if (!Value.ok() || *Value > MaxPercent) {
-    fail(fmt::format("'{}' where a share from 0% to 100% is due", Text));
+    reportFailure(
+        fmt::format("'{}' where a share from 0% to 100% is due", Text));
     return 0;
   }
   return static_cast<std::uint32_t>(*Value);
 }
 
-AwayBudget LineReader::budget() {
-  if (peek().ends_with('%')) {
-    return {AwayBudget::Kind::Percent, percent()};
+AwayBudget LineReader::readAwayBudget() {
+  if (peekWord().ends_with('%')) {
+    return {AwayBudget::Kind::Percent, readPercent()};
   }
-  const std::uint32_t Hosts = number("a share such as 10% or a number");
-  choice({"hosts", "host"});
+  const std::uint32_t Hosts = readNumber("a share such as 10% or a number");
+  expectChoice({"hosts", "host"});
   return {AwayBudget::Kind::Hosts, Hosts};
 }
 
-std::uint32_t LineReader::milliCores() {
-  const std::string_view Text = take();
-  const std::size_t Dot = Text.find('.');
-  const absl::StatusOr<std::uint64_t> Whole = parseNumber(Text.substr(0, Dot));
+std::uint32_t LineReader::readMilliCores() {
+  const std::string_view Text = takeWord();
+  const std::size_t DotPosition = Text.find('.');
+  const absl::StatusOr<std::uint64_t> WholeCores =
+      parseNumber(Text.substr(0, DotPosition));
   std::uint64_t Milli = 0;
-  bool Good = Whole.ok() && *Whole <= MaxCount;
-  if (Good && Dot != std::string_view::npos) {
-    std::string Digits(Text.substr(Dot + 1));
-    Good = !Digits.empty() && Digits.size() <= 3;
+  bool IsValid = WholeCores.ok() && *WholeCores <= MaxCount;
+  if (IsValid && DotPosition != std::string_view::npos) {
+    std::string Digits(Text.substr(DotPosition + 1));
+    IsValid = !Digits.empty() && Digits.size() <= 3;
     Digits.resize(3, '0');
-    const absl::StatusOr<std::uint64_t> Part = parseNumber(Digits);
-    Good = Good && Part.ok();
-    Milli = Good ? *Part : 0;
+    const absl::StatusOr<std::uint64_t> Fraction = parseNumber(Digits);
+    IsValid = IsValid && Fraction.ok();
+    Milli = IsValid ? *Fraction : 0;
   }
-  Milli += Good ? *Whole * MilliPerCore : 0;
-  if (!Good || Milli == 0) {
-    fail(fmt::format("'{}' where a number of cores such as 2 or 0.5 is due",
-                     Text));
+  Milli += IsValid ? *WholeCores * MilliPerCore : 0;
+  if (!IsValid || Milli == 0) {
+    reportFailure(fmt::format(
+        "'{}' where a number of cores such as 2 or 0.5 is due", Text));
     return 0;
   }
-  choice({"cores", "core"});
+  expectChoice({"cores", "core"});
   return static_cast<std::uint32_t>(Milli);
 }
 
-std::uint32_t LineReader::memory() {
-  const std::uint32_t Amount = number("an amount of memory");
-  const bool InGiB = choice({"GiB", "MiB"}) == 0;
-  return InGiB ? Amount * MiBPerGiB : Amount;
+std::uint32_t LineReader::readMemory() {
+  const std::uint32_t Amount = readNumber("an amount of memory");
+  const bool IsGiB = expectChoice({"GiB", "MiB"}) == 0;
+  return IsGiB ? Amount * MiBPerGiB : Amount;
 }
 
-TaskSize LineReader::size() {
+TaskSize LineReader::readTaskSize() {
   TaskSize Size;
-  Size.MilliCores = milliCores();
-  Size.MemoryMiB = memory();
-  // What follows a size never starts with a digit.
-  if (!peek().empty() && peek().front() >= '0' && peek().front() <= '9') {
-    Size.Accelerators = count("accelerator", "accelerators");
+  Size.MilliCores = readMilliCores();
+  Size.MemoryMiB = readMemory();
+  // A digit here can only start a number of accelerators: no word that may
+  // follow a size starts with one.
+  if (!peekWord().empty() && peekWord().front() >= '0' &&
+      peekWord().front() <= '9') {
+    Size.Accelerators = readCount("accelerator", "accelerators");
   }
   return Size;
 }
 
-Duration LineReader::duration() {
-  const std::string_view Text = take();
+Duration LineReader::readDuration() {
+  const std::string_view Text = takeWord();
   const absl::StatusOr<Duration> Value = parseDuration(Text);
   if (!Value.ok()) {
-    fail(std::string(Value.status().message()));
+    reportFailure(std::string(Value.status().message()));
     return {};
   }
   if (*Value == Duration::zero()) {
-    fail(fmt::format("'{}' is no time at all", Text));
+    reportFailure(fmt::format("the duration '{}' is zero", Text));
   }
   return *Value;
 }
 
-Duration LineReader::timeOfDay() {
-  const std::string_view Text = take();
+Duration LineReader::readTimeOfDay() {
+  const std::string_view Text = takeWord();
   const absl::StatusOr<Duration> Value = parseDuration(Text);
   if (!Value.ok() || *Value > Day) {
-    fail(fmt::format("'{}' where a time of the day such as 22h is due", Text));
+    reportFailure(
+        fmt::format("'{}' where a time of the day such as 22h is due", Text));
     return {};
   }
   return *Value;
 }
 
-std::string LineReader::publicKey() {
-  const std::string_view Text = take();
+std::string LineReader::readPublicKey() {
+  const std::string_view Text = takeWord();
   if (Text.size() != PublicKeyDigits ||
       !std::all_of(Text.begin(), Text.end(), isHexDigit)) {
-    fail(fmt::format("'{}' where a public key of {} digits 0-9 and a-f is due",
-                     Text, PublicKeyDigits));
+    reportFailure(
+        fmt::format("'{}' where a public key of {} digits 0-9 and a-f is due",
+                    Text, PublicKeyDigits));
     return {};
   }
   return std::string(Text);
 }
 
-void LineReader::end() {
-  const std::string_view Text = take();
+void LineReader::expectEnd() {
+  const std::string_view Text = takeWord();
   if (!Text.empty()) {
-    fail(fmt::format("'{}' where the line should end", Text));
+    reportFailure(fmt::format("'{}' where the line should end", Text));
   }
 }
 
--- a/Source/Rules/Parser.cpp
+++ b/Source/Rules/Parser.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Parsing of the rules text, line by line.
+/// Parser and formatter of the rules text, which is processed line by line.
 
 #include "balsamlatch/Rules/Parser.h"
 
@@ -20,22 +20,25 @@
   Parser(std::string_view FileName, std::string_view RulesText)
       : File(FileName), Text(RulesText) {}
 
-  ParsedRules run();
+  ParsedRules parse();
 
 private:
-  using ReadRule = void (Parser::*)(LineReader &, const RuleOrigin &);
+  using RuleParser = void (Parser::*)(LineReader &, const RuleOrigin &);
 
-  void line(const RuleLine &Line);
-  void owner(LineReader &Reader, const RuleOrigin &Origin);
-  void pool(LineReader &Reader, const RuleOrigin &Origin);
-  void job(LineReader &Reader, const RuleOrigin &Origin);
-  void quota(LineReader &Reader, const RuleOrigin &Origin);
-  void away(LineReader &Reader, const RuleOrigin &Origin);
-  void maintain(LineReader &Reader, const RuleOrigin &Origin);
-  void weigh(LineReader &Reader, const RuleOrigin &Origin);
-  static ReadRule readerOf(std::string_view Word);
-  void duplicate(LineReader &Reader, unsigned Column, std::string_view What,
-                 const RuleOrigin &Other);
+  void parseLine(const RuleLine &Line);
+  void parseOwner(LineReader &Reader, const RuleOrigin &Origin);
+  void parsePool(LineReader &Reader, const RuleOrigin &Origin);
+  void parseJob(LineReader &Reader, const RuleOrigin &Origin);
+  void parseQuota(LineReader &Reader, const RuleOrigin &Origin);
+  void parseAway(LineReader &Reader, const RuleOrigin &Origin);
+  void parseMaintain(LineReader &Reader, const RuleOrigin &Origin);
+  void parseWeigh(LineReader &Reader, const RuleOrigin &Origin);
+  /// The function that parses rules with this first word, or null.
+  static RuleParser findRuleParser(std::string_view Word);
+  /// Reports a rule that repeats the one at \p FirstOrigin.
+  void reportDuplicate(LineReader &Reader, unsigned Column,
+                       std::string_view Description,
+                       const RuleOrigin &FirstOrigin);
 
   const std::string File;
   const std::string_view Text;
@@ -43,10 +46,12 @@
   Findings Problems;
 };
 
-std::string_view nextLine(std::string_view &Rest) {
-  const std::size_t End = Rest.find('\n');
-  const std::string_view Line = Rest.substr(0, End);
-  Rest.remove_prefix(End == std::string_view::npos ? Rest.size() : End + 1);
+/// Removes the first line from the text and returns it without its line end.
+std::string_view takeLine(std::string_view &Remaining) {
+  const std::size_t End = Remaining.find('\n');
+  const std::string_view Line = Remaining.substr(0, End);
+  Remaining.remove_prefix(End == std::string_view::npos ? Remaining.size()
+                                                        : End + 1);
   return Line;
 }
 
@@ -55,73 +60,75 @@
          C == '\x7f';
 }
 
-ParsedRules Parser::run() {
-  if (Text.size() > StoredRulesBytes) {
-    Finding TooLong;
-    TooLong.Place = {File, 1, 1};
-    TooLong.Level =
+ParsedRules Parser::parse() {
+  if (Text.size() > MaxStoredRulesBytes) {
+    Finding SizeFinding;
+    SizeFinding.Place = {File, 1, 1};
+    SizeFinding.Level =
         Text.size() > MaxRulesBytes ? Severity::Error : Severity::Warning;
-    TooLong.Message = fmt::format("the text has {} bytes, the store takes {}",
-                                  Text.size(), StoredRulesBytes);
-    TooLong.Remedy = "leave rules out or shorten comments";
-    Problems.add(std::move(TooLong));
+    SizeFinding.Message =
+        fmt::format("the text has {} bytes, the store takes {}", Text.size(),
+                    MaxStoredRulesBytes);
+    SizeFinding.Remedy = "leave rules out or shorten comments";
+    Problems.add(std::move(SizeFinding));
   }
   if (Text.size() > MaxRulesBytes) {
     return {std::move(Rules), std::move(Problems)};
   }
-  std::string_view Rest = Text;
+  std::string_view Remaining = Text;
   std::vector<std::string_view> Lines;
-  while (!Rest.empty()) {
-    Lines.push_back(nextLine(Rest));
-    line(splitRuleLine(Lines.back(), static_cast<unsigned>(Lines.size())));
+  while (!Remaining.empty()) {
+    Lines.push_back(takeLine(Remaining));
+    parseLine(
+        tokenizeRuleLine(Lines.back(), static_cast<unsigned>(Lines.size())));
   }
   checkRules({File, Lines}, Rules, Problems);
   return {std::move(Rules), std::move(Problems)};
 }
 
-Parser::ReadRule Parser::readerOf(std::string_view Word) {
+Parser::RuleParser Parser::findRuleParser(std::string_view Word) {
   struct Entry {
     std::string_view Word;
-    ReadRule Read;
+    RuleParser ParseRule;
   };
-  static constexpr std::array<Entry, RuleForms.size()> Readers = {{
-      {"owner", &Parser::owner},
-      {"pool", &Parser::pool},
-      {"job", &Parser::job},
-      {"quota", &Parser::quota},
-      {"away", &Parser::away},
-      {"maintain", &Parser::maintain},
-      {"weigh", &Parser::weigh},
+  static constexpr std::array<Entry, RuleForms.size()> RuleParsers = {{
+      {"owner", &Parser::parseOwner},
+      {"pool", &Parser::parsePool},
+      {"job", &Parser::parseJob},
+      {"quota", &Parser::parseQuota},
+      {"away", &Parser::parseAway},
+      {"maintain", &Parser::parseMaintain},
+      {"weigh", &Parser::parseWeigh},
   }};
-  for (const Entry &E : Readers) {
+  for (const Entry &E : RuleParsers) {
     if (E.Word == Word) {
-      return E.Read;
+      return E.ParseRule;
     }
   }
   return nullptr;
 }
 
-void Parser::line(const RuleLine &Line) {
+void Parser::parseLine(const RuleLine &Line) {
   LineReader Reader(File, Line, Problems);
-  for (std::size_t I = 0; I < Line.Whole.size(); ++I) {
-    if (isControl(Line.Whole[I])) {
+  for (std::size_t I = 0; I < Line.Source.size(); ++I) {
+    if (isControl(Line.Source[I])) {
       Reader.report(static_cast<unsigned>(I + 1), "a control character",
                     "remove it");
       return;
     }
   }
-  const std::size_t BadByte = firstInvalidUtf8(Line.Whole);
-  if (BadByte != std::string_view::npos) {
-    Reader.report(static_cast<unsigned>(BadByte + 1), "text that isn't UTF-8",
-                  "save the file as UTF-8");
+  const std::size_t InvalidByte = firstInvalidUtf8(Line.Source);
+  if (InvalidByte != std::string_view::npos) {
+    Reader.report(static_cast<unsigned>(InvalidByte + 1),
+                  "text that isn't UTF-8", "save the file as UTF-8");
     return;
   }
   if (Line.Words.empty()) {
     return;
   }
   const std::string_view Word = Line.Words.front().Text;
-  const ReadRule Read = readerOf(Word);
-  if (Read == nullptr) {
+  const RuleParser ParseRule = findRuleParser(Word);
+  if (ParseRule == nullptr) {
     Reader.report(Line.Words.front().Column,
                   fmt::format("no rule is named '{}'", Word),
                   "start the line with owner, pool, job, quota, away, maintain "
@@ -134,110 +141,112 @@
                   "nobody is named who asked for the rule",
                   "end the line with # and the name of who asked for it");
   }
-  Reader.word(Word);
-  (this->*Read)(Reader, {Line.Number, std::string(Line.Comment)});
+  Reader.expectWord(Word);
+  (this->*ParseRule)(Reader, {Line.Number, std::string(Line.Comment)});
 }
 
-void Parser::duplicate(LineReader &Reader, unsigned Column,
-                       std::string_view What, const RuleOrigin &Other) {
-  Reader.report(
-      Column,
-      fmt::format("{} is given twice, first in line {}", What, Other.Line),
-      "keep one of the two lines");
+void Parser::reportDuplicate(LineReader &Reader, unsigned Column,
+                             std::string_view Description,
+                             const RuleOrigin &FirstOrigin) {
+  Reader.report(Column,
+                fmt::format("{} is given twice, first in line {}", Description,
+                            FirstOrigin.Line),
+                "keep one of the two lines");
 }
 
-void Parser::owner(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parseOwner(LineReader &Reader, const RuleOrigin &Origin) {
   OwnerRule Owner;
-  Owner.Owner = OwnerName(Reader.name("co-owner"));
-  Reader.word("key");
-  Owner.PublicKey = Reader.publicKey();
-  Reader.end();
-  if (Reader.failed()) {
+  Owner.Owner = OwnerName(Reader.readName("co-owner"));
+  Reader.expectWord("key");
+  Owner.PublicKey = Reader.readPublicKey();
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   Owner.Origin = Origin;
   Rules.Owners.push_back(std::move(Owner));
 }
 
-void Parser::pool(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parsePool(LineReader &Reader, const RuleOrigin &Origin) {
   PoolRule Pool;
-  Pool.Pool = PoolName(Reader.name("pool"));
-  const unsigned NameColumn = Reader.column();
-  Pool.Hosts = Reader.count("host", "hosts");
-  Reader.word("away");
-  Pool.Away = Reader.budget();
-  Reader.word("worker");
-  Pool.WorkerSize = Reader.size();
-  Pool.Spare = Reader.optionalWord("spare");
-  Reader.end();
-  if (Reader.failed()) {
+  Pool.Pool = PoolName(Reader.readName("pool"));
+  const unsigned NameColumn = Reader.lastColumn();
+  Pool.Hosts = Reader.readCount("host", "hosts");
+  Reader.expectWord("away");
+  Pool.Away = Reader.readAwayBudget();
+  Reader.expectWord("worker");
+  Pool.WorkerSize = Reader.readTaskSize();
+  Pool.Spare = Reader.consumeWord("spare");
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   Pool.Origin = Origin;
-  const auto [Place, Added] = Rules.Pools.try_emplace(Pool.Pool, Pool);
-  if (!Added) {
-    duplicate(Reader, NameColumn, fmt::format("pool {}", Pool.Pool.Text),
-              Place->second.Origin);
+  const auto [Existing, Inserted] = Rules.Pools.try_emplace(Pool.Pool, Pool);
+  if (!Inserted) {
+    reportDuplicate(Reader, NameColumn, fmt::format("pool {}", Pool.Pool.Text),
+                    Existing->second.Origin);
   }
 }
 
-void Parser::job(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parseJob(LineReader &Reader, const RuleOrigin &Origin) {
   JobRule Job;
-  Job.Job = JobName(Reader.name("job"));
-  const unsigned NameColumn = Reader.column();
-  Reader.word("in");
-  Job.Pool = PoolName(Reader.name("pool"));
-  Job.Class = Reader.choice({"prompt", "patient"}) == 0 ? JobClass::Prompt
-                                                        : JobClass::Patient;
-  Reader.word("within");
-  Job.Deadline = Reader.duration();
-  Reader.word("size");
-  Job.Size = Reader.size();
-  Reader.word("runs");
-  Job.RunTime = Reader.duration();
-  Job.Idempotent = Reader.choice({"idempotent", "once"}) == 0;
-  Job.MaySpill = Reader.optionalWord("spills");
-  Reader.end();
-  if (Reader.failed()) {
+  Job.Job = JobName(Reader.readName("job"));
+  const unsigned NameColumn = Reader.lastColumn();
+  Reader.expectWord("in");
+  Job.Pool = PoolName(Reader.readName("pool"));
+  Job.Class = Reader.expectChoice({"prompt", "patient"}) == 0
+                  ? JobClass::Prompt
+                  : JobClass::Patient;
+  Reader.expectWord("within");
+  Job.Deadline = Reader.readDuration();
+  Reader.expectWord("size");
+  Job.Size = Reader.readTaskSize();
+  Reader.expectWord("runs");
+  Job.RunTime = Reader.readDuration();
+  Job.Idempotent = Reader.expectChoice({"idempotent", "once"}) == 0;
+  Job.MaySpill = Reader.consumeWord("spills");
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   Job.Origin = Origin;
-  const auto [Place, Added] = Rules.Jobs.try_emplace(Job.Job, Job);
-  if (!Added) {
-    duplicate(Reader, NameColumn, fmt::format("job {}", Job.Job.Text),
-              Place->second.Origin);
+  const auto [Existing, Inserted] = Rules.Jobs.try_emplace(Job.Job, Job);
+  if (!Inserted) {
+    reportDuplicate(Reader, NameColumn, fmt::format("job {}", Job.Job.Text),
+                    Existing->second.Origin);
   }
 }
 
-void Parser::quota(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parseQuota(LineReader &Reader, const RuleOrigin &Origin) {
   QuotaRule Quota;
-  Quota.Team = TeamName(Reader.name("team"));
-  Quota.Slots = Reader.count("slot", "slots");
-  Reader.word("in");
-  Quota.Pool = PoolName(Reader.name("pool"));
-  Reader.end();
-  if (Reader.failed()) {
+  Quota.Team = TeamName(Reader.readName("team"));
+  Quota.Slots = Reader.readCount("slot", "slots");
+  Reader.expectWord("in");
+  Quota.Pool = PoolName(Reader.readName("pool"));
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   Quota.Origin = Origin;
   Rules.Quotas.push_back(std::move(Quota));
 }
 
-void Parser::away(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parseAway(LineReader &Reader, const RuleOrigin &Origin) {
   DomainRule Domain;
-  Domain.Kind = Reader.choice({"rack", "data-centre"}) == 0
+  Domain.Kind = Reader.expectChoice({"rack", "data-centre"}) == 0
                     ? DomainKind::Rack
                     : DomainKind::DataCentre;
-  const unsigned KindColumn = Reader.column();
-  Domain.Away = Reader.budget();
-  Reader.end();
-  if (Reader.failed()) {
+  const unsigned KindColumn = Reader.lastColumn();
+  Domain.Away = Reader.readAwayBudget();
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   for (const DomainRule &Other : Rules.Domains) {
     if (Other.Kind == Domain.Kind) {
-      duplicate(Reader, KindColumn, "the budget of this kind of domain",
-                Other.Origin);
+      reportDuplicate(Reader, KindColumn, "the budget of this kind of domain",
+                      Other.Origin);
       return;
     }
   }
@@ -245,43 +254,43 @@
   Rules.Domains.push_back(Domain);
 }
 
-void Parser::maintain(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parseMaintain(LineReader &Reader, const RuleOrigin &Origin) {
   MaintenanceRule Maintenance;
-  Reader.word("every");
-  Maintenance.Period = Reader.duration();
-  while (Reader.optionalWord("from")) {
+  Reader.expectWord("every");
+  Maintenance.Period = Reader.readDuration();
+  while (Reader.consumeWord("from")) {
     DailyWindow Window;
-    Window.From = Reader.timeOfDay();
-    Reader.word("to");
-    Window.To = Reader.timeOfDay();
+    Window.From = Reader.readTimeOfDay();
+    Reader.expectWord("to");
+    Window.To = Reader.readTimeOfDay();
     Maintenance.Windows.push_back(Window);
   }
-  Reader.word("stop");
-  Maintenance.StopPercent = Reader.percent();
-  Reader.end();
-  if (Reader.failed()) {
+  Reader.expectWord("stop");
+  Maintenance.StopPercent = Reader.readPercent();
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   if (Rules.Maintenance.Origin.Line != 0) {
-    duplicate(Reader, 1, "maintenance", Rules.Maintenance.Origin);
+    reportDuplicate(Reader, 1, "maintenance", Rules.Maintenance.Origin);
     return;
   }
   Maintenance.Origin = Origin;
   Rules.Maintenance = std::move(Maintenance);
 }
 
-void Parser::weigh(LineReader &Reader, const RuleOrigin &Origin) {
+void Parser::parseWeigh(LineReader &Reader, const RuleOrigin &Origin) {
   WeightRule Weights;
-  Reader.word("moves");
-  Weights.Moves = Reader.number("the weight of a move");
-  Reader.word("buffer");
-  Weights.Buffer = Reader.number("the weight of an idle host hour");
-  Reader.end();
-  if (Reader.failed()) {
+  Reader.expectWord("moves");
+  Weights.Moves = Reader.readNumber("the weight of a move");
+  Reader.expectWord("buffer");
+  Weights.Buffer = Reader.readNumber("the weight of an idle host hour");
+  Reader.expectEnd();
+  if (Reader.hasFailed()) {
     return;
   }
   if (Rules.Weights.Origin.Line != 0) {
-    duplicate(Reader, 1, "the weights", Rules.Weights.Origin);
+    reportDuplicate(Reader, 1, "the weights", Rules.Weights.Origin);
     return;
   }
   Weights.Origin = Origin;
@@ -291,30 +300,30 @@
 } // namespace
 
 ParsedRules parseRules(std::string_view File, std::string_view Text) {
-  return Parser(File, Text).run();
+  return Parser(File, Text).parse();
 }
 
 std::string formatRules(std::string_view Text) {
-  std::string Out;
-  std::string_view Rest = Text;
-  while (!Rest.empty()) {
-    const RuleLine Line = splitRuleLine(nextLine(Rest), 0);
-    std::string Tidy;
+  std::string Result;
+  std::string_view Remaining = Text;
+  while (!Remaining.empty()) {
+    const RuleLine Line = tokenizeRuleLine(takeLine(Remaining), 0);
+    std::string Formatted;
     for (const RuleWord &Word : Line.Words) {
-      Tidy += Tidy.empty() ? "" : " ";
-      Tidy += Word.Text;
+      Formatted += Formatted.empty() ? "" : " ";
+      Formatted += Word.Text;
     }
     if (Line.HasComment) {
-      Tidy += Tidy.empty() ? "#" : " #";
-      Tidy += Line.Comment.empty() ? "" : " ";
-      Tidy += Line.Comment;
+      Formatted += Formatted.empty() ? "#" : " #";
+      Formatted += Line.Comment.empty() ? "" : " ";
+      Formatted += Line.Comment;
     }
-    Out += Tidy + "\n";
+    Result += Formatted + "\n";
   }
-  while (Out == "\n" || Out.ends_with("\n\n")) {
-    Out.pop_back();
+  while (Result == "\n" || Result.ends_with("\n\n")) {
+    Result.pop_back();
   }
-  return Out;
+  return Result;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/RuleSet.cpp
+++ b/Source/Rules/RuleSet.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Look-ups in the rules in force.
+/// Implements the look-ups in a rule set and the arithmetic of away budgets.
 
 #include "balsamlatch/Rules/RuleSet.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint64_t PercentOfAll = 100;
+constexpr std::uint64_t PercentScale = 100;
 
 } // namespace
 
@@ -18,26 +18,26 @@
     return std::min(Amount, Members);
   }
   return static_cast<std::uint32_t>(std::uint64_t(Members) * Amount /
-                                    PercentOfAll);
+                                    PercentScale);
 }
 
 const JobRule *RuleSet::job(const JobName &Job) const {
-  const auto Found = Jobs.find(Job);
-  return Found == Jobs.end() ? nullptr : &Found->second;
+  const auto Match = Jobs.find(Job);
+  return Match == Jobs.end() ? nullptr : &Match->second;
 }
 
 const PoolRule *RuleSet::pool(const PoolName &Pool) const {
-  const auto Found = Pools.find(Pool);
-  return Found == Pools.end() ? nullptr : &Found->second;
+  const auto Match = Pools.find(Pool);
+  return Match == Pools.end() ? nullptr : &Match->second;
 }
 
 const QuotaRule *RuleSet::quota(const TeamName &Team,
                                 const PoolName &Pool) const {
-  const auto Found =
+  const auto Match =
       std::find_if(Quotas.begin(), Quotas.end(), [&](const QuotaRule &Q) {
         return Q.Team == Team && Q.Pool == Pool;
       });
-  return Found == Quotas.end() ? nullptr : &*Found;
+  return Match == Quotas.end() ? nullptr : &*Match;
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/TextLines.h
+++ b/Source/Rules/TextLines.h
@@ -1,5 +1,5 @@
 /// \file
-/// Texts as lists of lines.
+/// Splits texts into lines.
 
 #ifndef BALSAMLATCH_RULES_TEXTLINES_H
 #define BALSAMLATCH_RULES_TEXTLINES_H
@@ -10,7 +10,7 @@
 
 namespace balsamlatch {
 
-/// The lines without their line ends; a last line without one counts too.
+/// The lines without their line ends; includes a last line that has none.
 inline std::vector<std::string_view> splitLines(std::string_view Text) {
   std::vector<std::string_view> Lines;
   while (!Text.empty()) {
--- a/Source/Rules/Utf8.h
+++ b/Source/Rules/Utf8.h
@@ -1,5 +1,5 @@
 /// \file
-/// Validation of UTF-8, so that rules can be carried in JSON.
+/// Validation of UTF-8; JSON documents can only carry valid UTF-8.
 
 #ifndef BALSAMLATCH_RULES_UTF8_H
 #define BALSAMLATCH_RULES_UTF8_H
@@ -9,7 +9,7 @@
 
 namespace balsamlatch {
 
-/// Position of the first byte that isn't valid UTF-8, or npos.
+/// Position of the first character that isn't valid UTF-8, or npos.
 std::size_t firstInvalidUtf8(std::string_view Text);
 
 } // namespace balsamlatch
--- a/Source/Rules/include/balsamlatch/Rules/Adoption.h
+++ b/Source/Rules/include/balsamlatch/Rules/Adoption.h
@@ -1,7 +1,7 @@
 /// \file
-/// How an entry comes to have the latest rules in force: it verifies each
-/// candidate itself, keeps the highest version and never goes back. Pure; the
-/// shell carries out the actions.
+/// State machine by which an entry adopts the latest rules. It verifies each
+/// candidate itself, and the version in force never decreases. It does no I/O:
+/// the caller delivers events and carries out the returned actions.
 
 #ifndef BALSAMLATCH_RULES_ADOPTION_H
 #define BALSAMLATCH_RULES_ADOPTION_H
@@ -19,53 +19,53 @@
 
 namespace balsamlatch {
 
-/// The text under HeadKey as the store or a peer gave it.
+/// Event: a head document received from the store or from a peer.
 struct HeadSeen {
-  /// "store" or the peer's name; for the log.
+  /// Sender: "store" or the peer's name; for the log.
   std::string From;
-  /// Version of the store's key; handed back with HeadInForce.
+  /// Version of HeadKey in the store; returned with HeadInForce.
   std::uint64_t StoreVersion = 0;
   std::string Text;
 };
 
-/// The text under BaseKey as a peer gave it.
+/// Event: a base document received from the store or from a peer.
 struct BaseSeen {
   std::string From;
   std::string Text;
 };
 
-/// The reply to a CallStore. \p Request is the action's.
+/// Event: the reply to a CallStore action, with the request of that action.
 struct StoreReplied {
   StoreRequest Request;
   StoreReply Reply;
 };
 
-/// Call every 100 ms or so.
+/// Event: time has passed. Expected about every 100 ms.
 struct AdoptionTick {};
 
 using AdoptionEvent =
     std::variant<HeadSeen, BaseSeen, StoreReplied, AdoptionTick>;
 
-/// Submit to the store; answer with StoreReplied.
+/// Action: send the request to the store and report its reply by StoreReplied.
 struct CallStore {
   StoreRequest Request;
 };
 
-/// Ask some live peer for its baseDocument(); answer with BaseSeen.
+/// Action: request baseDocument() of any live peer and report it by BaseSeen.
 struct PullBase {};
 
-/// These rules are in force from now on.
+/// Action: replace the rules in force by these.
 struct RulesInForce {
   RuleSetPtr Rules;
 };
 
-/// The head that the rules in force came from, to be handed to peers.
+/// Action: publish to the peers the head from which the rules were adopted.
 struct HeadInForce {
   std::uint64_t StoreVersion = 0;
   std::string Text;
 };
 
-/// A line for the log.
+/// Action: write a log line.
 struct AdoptionReport {
   LogLevel Level = LogLevel::Info;
   /// "rules-in-force", "rules-refused" or "rules-behind".
@@ -79,13 +79,16 @@
                                     HeadInForce, AdoptionReport>;
 
 struct AdoptionOptions {
-  /// A pair of owners' keys that was once in force, from the settings.
+  /// The trust anchor: a pair of owners' keys that was once in force, from the
+  /// settings.
   OwnerKeys Trusted;
-  /// Versions below are refused; bounds what a fresh entry may be shown.
+  /// Lower versions are refused; limits how old the rules can be that an entry
+  /// without state accepts.
   RulesVersion Lowest;
-  /// Least and most pause between two tries to get the base document.
+  /// Minimum and maximum delay between two reads of the head or the base
+  /// document; doubles from the one to the other.
   Duration RetryPause = std::chrono::milliseconds(250);
-  Duration MostRetryPause = std::chrono::seconds(4);
+  Duration MaxRetryPause = std::chrono::seconds(4);
 };
 
 /// Not thread safe. Deterministic.
@@ -93,60 +96,67 @@
 public:
   explicit Adoption(AdoptionOptions Options);
 
-  /// Reads the head until some rules are in force. Watching it is the shell's
-  /// part.
+  /// Begins to read the head, until some rules are in force. Watching the
+  /// head for new versions is up to the caller.
   std::vector<AdoptionAction> start(Instant Now);
 
   std::vector<AdoptionAction> handle(const AdoptionEvent &Event, Instant Now);
 
   /// The rules in force, or null before the first.
   const RuleSetPtr &rules() const { return Rules; }
-  /// The state in force; null before the first.
+  /// The chain state in force, or null before the first.
   const ChainState *state() const { return State ? &*State : nullptr; }
-  /// What a peer without rules needs besides the head; empty before the first.
+  /// The base document that a peer without rules needs besides the head; empty
+  /// before the first adoption.
   std::string baseDocument() const;
 
 private:
   using Actions = std::vector<AdoptionAction>;
 
-  /// A head that waits for its base document.
-  struct Pending {
-    HeadSeen Seen;
+  /// A head that can't be verified before its base document arrives.
+  struct PendingHead {
+    HeadSeen Event;
     HeadDocument Head;
   };
 
-  void on(const HeadSeen &Seen, Instant Now, Actions &Out);
-  void on(const BaseSeen &Seen, Instant Now, Actions &Out);
-  void on(const StoreReplied &Replied, Instant Now, Actions &Out);
-  void on(const AdoptionTick &Tick, Instant Now, Actions &Out);
-  void behind(const HeadSeen &Seen, const HeadDocument &Head,
-              Actions &Out) const;
-  void await(const HeadSeen &Seen, HeadDocument Head);
-  void wantBase(Instant Now, Actions &Out);
-  /// The pause before the next try; the one after it is longer.
-  Duration pause();
-  void follow(const HeadSeen &Seen, const HeadDocument &Head, ChainState Next,
-              Actions &Out);
-  absl::Status tryBase(const Pending &Candidate, const BaseDocument &Document,
-                       Actions &Out);
-  absl::Status adopt(const HeadSeen &Seen, const HeadDocument &Head,
-                     ChainState Next, Actions &Out);
+  void process(const HeadSeen &Event, Instant Now, Actions &NewActions);
+  void process(const BaseSeen &Event, Instant Now, Actions &NewActions);
+  void process(const StoreReplied &Event, Instant Now, Actions &NewActions);
+  void process(const AdoptionTick &Tick, Instant Now, Actions &NewActions);
+  /// Logs a head that is older than the version in force, or that has a
+  /// different chain for the same version.
+  void reportStaleHead(const HeadSeen &Event, const HeadDocument &Head,
+                       Actions &NewActions) const;
+  void queueHead(const HeadSeen &Event, HeadDocument Head);
+  void requestBase(Instant Now, Actions &NewActions);
+  /// Returns the delay before the next read and doubles it for the one after,
+  /// up to MaxRetryPause.
+  Duration nextRetryDelay();
+  void applyHead(const HeadSeen &Event, const HeadDocument &Head,
+                 ChainState NextState, Actions &NewActions);
+  absl::Status adoptWithBase(const PendingHead &Candidate,
+                             const BaseDocument &Document, Actions &NewActions);
+  /// Puts the rules of a verified state in force.
+  absl::Status adopt(const HeadSeen &Event, const HeadDocument &Head,
+                     ChainState NextState, Actions &NewActions);
+  /// Moves Base forward to the base version of the next head.
   void advanceBase(const HeadDocument &NextHead);
-  void refuse(const std::string &From, RulesVersion Version,
-              const absl::Status &Why, Actions &Out) const;
+  void reportRefusal(const std::string &From, RulesVersion Version,
+                     const absl::Status &Error, Actions &NewActions) const;
 
   AdoptionOptions Options;
-  // Invariant: State and Rules are of the same version, which only rises.
+  // Invariant: State and Rules have the same version, which never decreases.
   std::optional<ChainState> State;
   RuleSetPtr Rules;
   HeadDocument LastHead;
-  // Invariant: from LastHead.Base to State's version; handed to peers.
+  // The state from which baseDocument() is made. Invariant: its version lies
+  // between LastHead.Base and the version of State.
   std::optional<ChainState> Base;
-  // Invariant: at most one for each sender.
-  std::vector<Pending> Waiting;
-  Duration Pause;
-  Instant NextHeadAt{};
-  Instant NextBaseAt{};
+  // Invariant: at most one head per sender.
+  std::vector<PendingHead> PendingHeads;
+  Duration RetryDelay;
+  Instant NextHeadReadTime{};
+  Instant NextBaseReadTime{};
 };
 
 } // namespace balsamlatch
--- a/Source/Rules/include/balsamlatch/Rules/Chain.h
+++ b/Source/Rules/include/balsamlatch/Rules/Chain.h
@@ -1,7 +1,7 @@
 /// \file
-/// The chain of versions: how each version follows from the one before by a
-/// change that both co-owners signed, and how someone who knows only the first
-/// owners' keys verifies the latest version from a few documents.
+/// The hash chain of rules versions. Each version results from the previous one
+/// by a change that both co-owners signed. The latest version can be verified
+/// from the head and base documents and a pair of trusted owner keys.
 
 #ifndef BALSAMLATCH_RULES_CHAIN_H
 #define BALSAMLATCH_RULES_CHAIN_H
@@ -18,41 +18,43 @@
 
 namespace balsamlatch {
 
-/// Store keys of the documents.
+/// Keys of the documents in the store.
 inline constexpr std::string_view HeadKey = "rules/head";
 inline constexpr std::string_view BaseKey = "rules/base";
 inline constexpr std::string_view ProposalsKey = "rules/proposals";
 
-/// A change may land as long as its base is at most so many versions old.
+/// A change may land only while its base is fewer than this many versions old.
 inline constexpr std::uint64_t MaxBaseAge = 1024;
 
-/// The two owners' keys, smaller first.
+/// The public keys of the two owners, in ascending order.
 using OwnerKeys = std::array<PublicKey, 2>;
 
 /// The first version of a chain, signed by both first owners.
 struct Genesis {
   RulesVersion Version;
   Digest TextHash;
-  /// Tells chains with the same text apart; random digits.
+  /// Random digits that distinguish chains with the same first text.
   std::string Nonce;
   std::vector<Approval> Approvals;
 
   auto operator<=>(const Genesis &) const = default;
 };
 
-/// A change that made a version.
+/// An approved change and the version that it created.
 struct LandedChange {
   RulesVersion Version;
   SignedChange Subject;
   /// Hash of the text of this version.
   Digest TextHash;
-  /// Signature of one owner on the chain up to and with this version.
+  /// Signature of the owner who landed the change, on the chain hash of this
+  /// version.
   Approval Landing;
 
   auto operator<=>(const LandedChange &) const = default;
 };
 
-/// What one version adds to the chain.
+/// The input that one version adds to the hash chain: the digests of its change
+/// and of its text.
 struct ChainStep {
   Digest Change;
   Digest TextHash;
@@ -60,7 +62,8 @@
   auto operator<=>(const ChainStep &) const = default;
 };
 
-/// The small document that is watched: the latest version and the last changes.
+/// The small document that entries watch: the latest version and the most
+/// recent changes.
 struct HeadDocument {
   Genesis First;
   /// All changes of owners' keys, oldest first.
@@ -76,7 +79,8 @@
   auto operator<=>(const HeadDocument &) const = default;
 };
 
-/// The whole text of an earlier version, with the chain that led to it.
+/// A snapshot: the whole text of an earlier version and the recent steps of the
+/// chain that led to it.
 struct BaseDocument {
   RulesVersion Version;
   std::string Text;
@@ -89,92 +93,104 @@
   auto operator<=>(const BaseDocument &) const = default;
 };
 
-Digest genesisChain(const Genesis &First);
-Digest nextChain(const Digest &Previous, RulesVersion Version,
-                 const ChainStep &Step);
+/// Chain hash of the first version.
+Digest genesisChainHash(const Genesis &FirstVersion);
+/// Chain hash of a version, from that of the previous one and the version's
+/// step.
+Digest nextChainHash(const Digest &Previous, RulesVersion Version,
+                     const ChainStep &Step);
 
-/// Keys of the two owner lines of a text. FailedPrecondition if there are not
-/// exactly two with different keys.
+/// Reads the keys of the two owner lines of a text. FailedPrecondition unless
+/// there are exactly two with different keys.
 absl::StatusOr<OwnerKeys> ownersOf(std::string_view Text);
 
 /// Sorts the two keys.
 OwnerKeys ownerKeys(const PublicKey &A, const PublicKey &B);
 
-/// One verified version with what is needed to verify the next. Immutable.
+/// One version of the rules with all that is needed to verify the next.
+/// Immutable.
 class ChainState {
 public:
   /// The first version. Verifies both owners' signatures.
-  static absl::StatusOr<ChainState> first(const Genesis &First,
+  static absl::StatusOr<ChainState> first(const Genesis &FirstVersion,
                                           std::string Text);
 
-  /// The state that a base document describes, whoever made it. DataLoss if
-  /// the document contradicts itself.
+  /// The state that a base document describes, without verifying any signature.
+  /// DataLoss if the document is inconsistent.
   static absl::StatusOr<ChainState> fromBase(const BaseDocument &Base);
 
-  /// The next version: verifies all signatures, base, chain and edits.
-  /// - Aborted: the expected lines no longer stand; the message names them;
+  /// The next version. Verifies all signatures, the base, the chain and the
+  /// edits.
+  /// - Aborted: the text no longer has the expected lines; the message lists
+  ///   them;
   /// - FailedPrecondition: the base is too old or from another chain;
   /// - AlreadyExists: the change has landed before;
   /// - PermissionDenied: a signature is missing or wrong.
-  absl::StatusOr<ChainState> next(const LandedChange &Landed) const;
+  absl::StatusOr<ChainState> next(const LandedChange &Entry) const;
 
-  /// The step and text that the change would make; the checks of next() but
-  /// for the landing signature.
-  absl::StatusOr<ChainState> land(const SignedChange &Subject) const;
+  /// The state after the change. Makes the checks of next() except for the
+  /// landing signature.
+  absl::StatusOr<ChainState> land(const SignedChange &Proposal) const;
 
-  /// The owners' keys once the change has landed; the checks of land() but for
+  /// The owners' keys after the change. Makes the checks of land() except for
   /// the approvals.
-  absl::StatusOr<OwnerKeys> ownersAfter(const Change &Subject) const;
+  absl::StatusOr<OwnerKeys> ownersAfter(const Change &Proposal) const;
 
   RulesVersion version() const { return Version; }
   const Digest &chain() const { return Chain; }
   const std::string &text() const { return Text; }
   Digest textHash() const;
-  /// Hash of the text of one of the last MaxBaseAge versions; empty if it isn't
-  /// known any more.
-  std::optional<Digest> textHashAt(RulesVersion At) const;
+  /// Hash of the text of one of the last MaxBaseAge versions; empty for any
+  /// other version.
+  std::optional<Digest> textHashAt(RulesVersion QueriedVersion) const;
   const OwnerKeys &owners() const { return Owners; }
-  /// Whether the change made one of the last MaxBaseAge versions.
+  /// Whether the change created one of the last MaxBaseAge versions.
   bool contains(const Digest &Change) const;
-  /// Chain hash of an earlier version, or null if it isn't known any more.
-  const Digest *chainAt(RulesVersion At) const;
-  /// The document from which this state can be made again.
+  /// Chain hash of this or one of the last MaxBaseAge versions; null for any
+  /// other version.
+  const Digest *chainHashAt(RulesVersion QueriedVersion) const;
+  /// The base document of this state; the inverse of fromBase().
   BaseDocument base() const;
 
 private:
   friend class HeadVerifier;
 
-  struct Past {
+  /// The step of one recent version and the chain hash after it.
+  struct WindowEntry {
     ChainStep Step;
     Digest Chain;
   };
 
-  absl::Status checkBase(const Change &Subject) const;
-  absl::Status checkApprovals(const SignedChange &Subject,
-                              const OwnerKeys &After) const;
-  /// Follows without looking at signatures.
-  absl::StatusOr<ChainState> follow(const SignedChange &Subject) const;
+  absl::Status checkBase(const Change &Proposal) const;
+  absl::Status checkApprovals(const SignedChange &Proposal,
+                              const OwnerKeys &NewOwners) const;
+  /// The state after the change, without verifying signatures.
+  absl::StatusOr<ChainState>
+  applyWithoutSignatures(const SignedChange &Proposal) const;
 
   RulesVersion Version;
   Digest Chain;
   std::string Text;
   OwnerKeys Owners;
-  // Invariant: Window[I] made version Version - (Window.size() - 1 - I).
-  std::deque<Past> Window;
+  // The last versions, at most MaxBaseAge. Invariant: Window[I] belongs to
+  // version Version - (Window.size() - 1 - I).
+  std::deque<WindowEntry> Window;
+  // Chain hash of the version before Window.
   Digest StartChain;
 };
 
-/// Verifies a head from its base document, knowing only a pair of owners' keys
-/// that was once in force. No owner alone, and not the store, can make a head
-/// that passes.
+/// Verifies a head against its base document, trusting only a pair of owners'
+/// keys that was once in force. Neither a single owner nor the store can forge
+/// a head that passes.
 absl::StatusOr<ChainState> verifyHead(const HeadDocument &Head,
                                       const BaseDocument &Base,
                                       const OwnerKeys &Trusted);
 
-/// Verifies a head from an earlier verified state, which is returned when the
-/// head has nothing new. OutOfRange if the state is older than the head's base.
+/// Verifies a head against an earlier verified state, which is returned if the
+/// head has no newer version. OutOfRange if the state is older than the head's
+/// base.
 absl::StatusOr<ChainState> followHead(const HeadDocument &Head,
-                                      const ChainState &From);
+                                      const ChainState &Verified);
 
 } // namespace balsamlatch
 
--- a/Source/Rules/include/balsamlatch/Rules/ChainJson.h
+++ b/Source/Rules/include/balsamlatch/Rules/ChainJson.h
@@ -1,5 +1,5 @@
 /// \file
-/// The JSON forms of changes and of the documents in the store.
+/// JSON serialization of changes and of the documents in the store.
 
 #ifndef BALSAMLATCH_RULES_CHAINJSON_H
 #define BALSAMLATCH_RULES_CHAINJSON_H
@@ -28,13 +28,13 @@
 /// DataLoss if the text isn't a list of retired changes.
 absl::StatusOr<std::vector<RetiredChange>> parseRetired(std::string_view Text);
 
-std::string printProposals(const Proposals &All);
+std::string printProposals(const Proposals &Document);
 /// DataLoss if the text isn't a proposals document.
 absl::StatusOr<Proposals> parseProposals(std::string_view Text);
 
-boost::json::value toJson(const SignedChange &Subject);
-/// Reads a change; sets \p Good to false if it is faulty.
-SignedChange signedChangeOf(const boost::json::value &Value, bool &Good);
+boost::json::value toJson(const SignedChange &Proposal);
+/// Parses a change; sets \p IsValid to false if it is malformed.
+SignedChange parseSignedChange(const boost::json::value &Value, bool &IsValid);
 
 } // namespace balsamlatch
 
--- a/Source/Rules/include/balsamlatch/Rules/Change.h
+++ b/Source/Rules/include/balsamlatch/Rules/Change.h
@@ -1,6 +1,6 @@
 /// \file
-/// A change of the rules: line edits with the lines that they expect, the
-/// state that the proposer saw, and the signatures of the co-owners.
+/// A change of the rules: line edits with the lines that they replace, the
+/// version they are based on, and the signatures of the co-owners.
 
 #ifndef BALSAMLATCH_RULES_CHANGE_H
 #define BALSAMLATCH_RULES_CHANGE_H
@@ -16,12 +16,12 @@
 
 namespace balsamlatch {
 
-/// Replaces a run of lines. Lines are without their line ends.
+/// Replaces consecutive lines. Lines are stored without their line ends.
 struct LineEdit {
-  /// Line of the base text, from 1, at which Old stands or, without Old, in
-  /// front of which New goes.
+  /// Line of the base text, from 1, at which Old begins; if Old is empty, the
+  /// line before which New is inserted.
   std::uint32_t Line = 0;
-  /// The line above; places an insertion in a text that has moved on.
+  /// The line above; locates an insertion in a text that has changed since.
   std::string Above;
   std::vector<std::string> Old;
   std::vector<std::string> New;
@@ -29,17 +29,17 @@
   auto operator<=>(const LineEdit &) const = default;
 };
 
-/// What the co-owners sign.
+/// The content of a change; its digest is what the co-owners sign.
 struct Change {
-  /// The version that the proposer saw, and the chain up to it. Who signs a
-  /// change thereby attests that chain.
+  /// The version that the change is based on, and its chain hash. A signature
+  /// of the change also attests that chain.
   RulesVersion Base;
   Digest BaseChain;
   OwnerName Proposer;
   std::string Reason;
-  /// Seconds since 1970 UTC by the proposer's clock; for people only.
+  /// Seconds since 1970 UTC by the proposer's clock; for display only.
   std::uint64_t ProposedAt = 0;
-  /// Makes equal edits different changes; random digits.
+  /// Random digits that give two changes with equal edits different digests.
   std::string Nonce;
   std::vector<LineEdit> Edits;
   /// Public keys of both owners after the change, in the order of their lines;
@@ -49,10 +49,10 @@
   auto operator<=>(const Change &) const = default;
 };
 
-/// Identifies the change; covers every field.
-Digest changeDigest(const Change &Subject);
+/// Hash of all fields; identifies the change.
+Digest changeDigest(const Change &Proposal);
 
-/// A signature and whose it is.
+/// A signature and the key that made it.
 struct Approval {
   PublicKey Key;
   Signature Signed;
@@ -70,30 +70,32 @@
 };
 
 /// Signs the change with the key.
-Approval approve(const Change &Subject, const PrivateKey &Key);
+Approval approve(const Change &Proposal, const PrivateKey &Key);
 
-/// Whether the key's owner validly signed the change.
-bool approvedBy(const SignedChange &Subject, const PublicKey &Key);
+/// Whether the change has a valid signature by the key.
+bool approvedBy(const SignedChange &Proposal, const PublicKey &Key);
 
-/// An edit whose expected lines no longer stand in the text.
+/// An edit whose expected lines are no longer in the text.
 struct EditConflict {
   LineEdit Edit;
   std::string Message;
 };
 
-/// The text after the edits, or all conflicts. Never half applied.
+/// The text after all edits, or all conflicts. Edits are never applied in part.
 struct EditResult {
   std::string Text;
   std::vector<EditConflict> Conflicts;
 };
 
-/// Applies the edits to a text that may have moved on since they were made.
-/// Each run of old lines is looked for nearest to its line.
+/// Applies the edits to a text that may have changed since they were made. If
+/// the old lines of an edit occur several times, the place nearest to its line
+/// number is used.
 EditResult applyEdits(std::string_view Text,
                       const std::vector<LineEdit> &Edits);
 
 /// The edits that turn one text into another.
-std::vector<LineEdit> diffTexts(std::string_view From, std::string_view To);
+std::vector<LineEdit> diffTexts(std::string_view OldText,
+                                std::string_view NewText);
 
 /// The edits as a readable listing, old lines with `-`, new ones with `+`.
 std::string renderEdits(const std::vector<LineEdit> &Edits);
--- a/Source/Rules/include/balsamlatch/Rules/Grammar.h
+++ b/Source/Rules/include/balsamlatch/Rules/Grammar.h
@@ -1,6 +1,6 @@
 /// \file
-/// The forms of the rules language, as data: the help listings and the
-/// remedies of findings are made from them.
+/// The grammar of the rules language as a table. Help texts and the remedies of
+/// findings are generated from it.
 
 #ifndef BALSAMLATCH_RULES_GRAMMAR_H
 #define BALSAMLATCH_RULES_GRAMMAR_H
@@ -10,7 +10,7 @@
 
 namespace balsamlatch {
 
-/// One kind of rule, named by the first word of its line.
+/// One kind of rule, identified by the first word of its line.
 struct RuleForm {
   std::string_view Word;
   /// The words of the line in their order; capitals stand for values, square
@@ -58,7 +58,7 @@
      "weigh moves 10 buffer 1 # Brunnengeld"},
 }};
 
-/// The form that starts with \p Word, or null.
+/// The form whose first word is \p Word, or null.
 constexpr const RuleForm *ruleForm(std::string_view Word) {
   for (const RuleForm &Form : RuleForms) {
     if (Form.Word == Word) {
--- a/Source/Rules/include/balsamlatch/Rules/Keys.h
+++ b/Source/Rules/include/balsamlatch/Rules/Keys.h
@@ -1,5 +1,5 @@
 /// \file
-/// Digests, signatures and the key files of the co-owners.
+/// SHA-256 digests, Ed25519 signatures and the key files of the co-owners.
 
 #ifndef BALSAMLATCH_RULES_KEYS_H
 #define BALSAMLATCH_RULES_KEYS_H
@@ -16,7 +16,7 @@
 
 namespace balsamlatch {
 
-/// A fixed number of bytes that can't be confused with another kind.
+/// A fixed number of bytes; the tag makes each kind a type of its own.
 template <typename Tag, std::size_t Size> struct ByteString {
   std::array<std::uint8_t, Size> Bytes{};
 
@@ -40,35 +40,38 @@
   return toHex(Value.Bytes.data(), Size);
 }
 
-/// Reads exactly \p Size bytes of hexadecimal digits; false if they are not.
+/// Decodes lower-case hexadecimal digits to exactly \p Size bytes; false if the
+/// text is anything else.
 bool fromHex(std::string_view Text, std::uint8_t *Bytes, std::size_t Size);
 
-/// InvalidArgument if the text isn't exactly the digits of such a value.
+/// Decodes a value of fixed size. InvalidArgument if the text isn't exactly its
+/// lower-case hexadecimal digits.
 template <typename Value>
 absl::StatusOr<Value> parseHex(std::string_view Text) {
   Value Result;
   if (!fromHex(Text, Result.Bytes.data(), Result.Bytes.size())) {
-    return absl::InvalidArgumentError("not the hexadecimal digits due here");
+    return absl::InvalidArgumentError(
+        "not a hexadecimal value of the expected length");
   }
   return Result;
 }
 
-/// Whether the owner of the key signed the message.
+/// Whether the signature of the message by the key is valid.
 bool verifySignature(const PublicKey &Key, std::string_view Message,
-                     const Signature &Signed);
+                     const Signature &SignatureValue);
 
-/// The private half of a co-owner's key. Immutable.
+/// The private key of a co-owner. Immutable.
 class PrivateKey {
 public:
-  /// A new key from the system's random numbers.
+  /// Generates a key with the system's random number generator.
   static absl::StatusOr<PrivateKey> generate();
-  /// The key of an Ed25519 seed; for tests and examples.
+  /// Derives the key from an Ed25519 seed; for tests and examples.
   static absl::StatusOr<PrivateKey>
   fromSeed(const std::array<std::uint8_t, 32> &Seed);
 
   const PublicKey &publicKey() const { return Public; }
   Signature sign(std::string_view Message) const;
-  /// PKCS #8 in PEM.
+  /// The private key as PKCS #8 in PEM.
   std::string pem() const;
 
 private:
@@ -76,13 +79,13 @@
 
   explicit PrivateKey(std::shared_ptr<void> Key);
 
-  // Invariant: an EVP_PKEY of type Ed25519 with both halves.
+  // Invariant: an EVP_PKEY of type Ed25519 with private and public key.
   std::shared_ptr<void> Handle;
   PublicKey Public;
 };
 
-/// Writes a new file that only its user may read. AlreadyExists if there is
-/// one.
+/// Writes a new file that only its user may read. AlreadyExists if the file
+/// exists.
 absl::Status writeKeyFile(const std::string &Path, const PrivateKey &Key);
 
 /// Reads a key file. PermissionDenied if others than its user may read or
--- a/Source/Rules/include/balsamlatch/Rules/Landing.h
+++ b/Source/Rules/include/balsamlatch/Rules/Landing.h
@@ -1,6 +1,6 @@
 /// \file
-/// Making the next documents of the chain: the first version, and a head with
-/// one more change. Pure; the tool carries the documents to the store.
+/// Builds the documents of the chain: those of the first version, and those
+/// after one more change. Does no I/O; the caller writes them to the store.
 
 #ifndef BALSAMLATCH_RULES_LANDING_H
 #define BALSAMLATCH_RULES_LANDING_H
@@ -14,9 +14,10 @@
 
 namespace balsamlatch {
 
-/// Changes that a head keeps at least, and at which it is cut back.
+/// Number of changes that a head keeps when it is compacted, and number of
+/// changes that triggers the compaction.
 inline constexpr std::size_t HeadChangesKept = 8;
-inline constexpr std::size_t HeadChangesMost = 16;
+inline constexpr std::size_t HeadCompactionChanges = 16;
 
 /// A verified chain, as read from the store.
 struct ChainView {
@@ -25,13 +26,13 @@
   ChainState Latest;
 };
 
-/// Verifies the two documents. Without \p Trusted, the owners that the base
-/// document names are taken at their word.
-absl::StatusOr<ChainView> viewChain(std::string_view HeadText,
-                                    std::string_view BaseText,
-                                    const std::optional<OwnerKeys> &Trusted);
+/// Parses and verifies the two documents. Without \p TrustedOwners, the owners
+/// that the base document names are trusted.
+absl::StatusOr<ChainView>
+viewChain(std::string_view HeadText, std::string_view BaseText,
+          const std::optional<OwnerKeys> &TrustedOwners);
 
-/// What a proposer says besides the text; the fields of Change.
+/// The fields of Change that don't depend on the text.
 struct ProposalNote {
   OwnerName Proposer;
   std::string Reason;
@@ -52,41 +53,42 @@
   std::string New;
 };
 
-/// A change that makes the same edits to the view's latest text, ready to be
+/// Creates the change with the edits from the old to the new text, ready to be
 /// signed. InvalidArgument if the texts don't differ or the result has
 /// findings; Aborted and FailedPrecondition as for ChainState::next.
 absl::StatusOr<Change> makeChange(const ChainView &View, const EditedText &Text,
                                   ProposalNote Note);
 
-/// Keys that must sign the change and haven't. FailedPrecondition or Aborted
-/// if it can't land any more.
+/// The keys whose signatures the change still lacks. FailedPrecondition or
+/// Aborted if it can no longer land.
 absl::StatusOr<std::vector<PublicKey>>
-missingSigners(const ChainView &View, const SignedChange &Subject);
+missingSigners(const ChainView &View, const SignedChange &Proposal);
 
-/// A change that left the head, for the log.
+/// A change that was removed from the head by compaction; kept for the log of
+/// changes.
 struct RetiredChange {
   LandedChange Landed;
-  /// Turn the text of this version into that of the one before.
+  /// Edits from the text of this version back to that of the previous one.
   std::vector<LineEdit> Undo;
 
   auto operator<=>(const RetiredChange &) const = default;
 };
 
-/// What a landing writes, in this order: Retired to the log, the base document
-/// if it changes, then the head.
+/// The writes of a landing, in this order: Retired to the log, the base
+/// document if BaseChanges, then the head.
 struct LandingPlan {
   ChainView View;
   bool BaseChanges = false;
-  /// Changes that leave the head.
+  /// Changes that compaction removes from the head.
   std::vector<RetiredChange> Retired;
 };
 
-/// Adds the change to the head. Statuses of ChainState::next;
+/// Adds the change to the head. Fails with the statuses of ChainState::next;
 /// InvalidArgument if the resulting text has findings;
-/// ResourceExhausted if the documents would grow beyond the store's values.
+/// ResourceExhausted if a document exceeds the maximum size of a store value.
 absl::StatusOr<LandingPlan> planLanding(const ChainView &View,
-                                        const SignedChange &Subject,
-                                        const PrivateKey &Lander);
+                                        const SignedChange &Proposal,
+                                        const PrivateKey &LandingKey);
 
 } // namespace balsamlatch
 
--- a/Source/Rules/include/balsamlatch/Rules/Parser.h
+++ b/Source/Rules/include/balsamlatch/Rules/Parser.h
@@ -1,5 +1,5 @@
 /// \file
-/// The rules text: parsing, checking across rules, and printing.
+/// Parses, checks and formats the rules text.
 
 #ifndef BALSAMLATCH_RULES_PARSER_H
 #define BALSAMLATCH_RULES_PARSER_H
@@ -12,26 +12,26 @@
 
 namespace balsamlatch {
 
-/// A parsed text with everything that is wrong with it.
+/// The rules of a parsed text, and all findings.
 struct ParsedRules {
-  /// Holds what could be read; to be used only without errors.
+  /// The rules that could be parsed. Use them only if there are no errors.
   RuleSet Rules;
   Findings Problems;
 };
 
 /// Parses and checks a whole rules text. \p File names it in the findings.
-/// Never fails early: all findings are collected.
+/// Continues after errors, so that all findings are collected.
 ParsedRules parseRules(std::string_view File, std::string_view Text);
 
-/// Puts the text into its usual form: single blanks between words, one before
-/// the comment, no blank lines at the end. Each line stays on its number, and
-/// comments stay as they are. Works on faulty text too.
+/// Formats the text: single blanks between words, one before the comment, no
+/// blank lines at the end. Line numbers and the text of comments are preserved.
+/// Accepts text with errors.
 std::string formatRules(std::string_view Text);
 
-/// Texts up to so many bytes fit the store with their signatures.
-inline constexpr std::size_t StoredRulesBytes = 800'000;
+/// Largest rules text, in bytes, that fits into the store with its signatures.
+inline constexpr std::size_t MaxStoredRulesBytes = 800'000;
 
-/// Largest rules text that is read at all, in bytes.
+/// Largest rules text that is parsed, in bytes.
 inline constexpr std::size_t MaxRulesBytes = 4'000'000;
 
 } // namespace balsamlatch
--- a/Source/Rules/include/balsamlatch/Rules/Proposals.h
+++ b/Source/Rules/include/balsamlatch/Rules/Proposals.h
@@ -1,6 +1,6 @@
 /// \file
-/// Changes that wait for signatures. Nothing here is trusted: a change counts
-/// by its signatures alone.
+/// The list of proposed changes that wait for signatures. The list itself is
+/// not trusted: only the signatures of a change are.
 
 #ifndef BALSAMLATCH_RULES_PROPOSALS_H
 #define BALSAMLATCH_RULES_PROPOSALS_H
@@ -13,7 +13,7 @@
 
 namespace balsamlatch {
 
-/// A proposal that was taken off the list.
+/// A proposal that is no longer open.
 struct ClosedProposal {
   std::string Id;
   OwnerName By;
@@ -26,7 +26,7 @@
 /// The document under ProposalsKey.
 struct Proposals {
   std::vector<SignedChange> Open;
-  /// The last ones, oldest first; at most MaxClosedProposals.
+  /// The most recently closed ones, oldest first; at most MaxClosedProposals.
   std::vector<ClosedProposal> Closed;
 
   auto operator<=>(const Proposals &) const = default;
@@ -35,10 +35,10 @@
 inline constexpr std::size_t MaxOpenProposals = 200;
 inline constexpr std::size_t MaxClosedProposals = 50;
 
-/// Name of a change: the first digits of its digest.
-inline std::string proposalId(const Change &Subject) {
+/// Id of a proposal: the first 12 hexadecimal digits of its digest.
+inline std::string proposalId(const Change &Proposal) {
   constexpr std::size_t Bytes = 6;
-  return toHex(changeDigest(Subject).Bytes.data(), Bytes);
+  return toHex(changeDigest(Proposal).Bytes.data(), Bytes);
 }
 
 } // namespace balsamlatch
--- a/Source/Rules/include/balsamlatch/Rules/RuleSet.h
+++ b/Source/Rules/include/balsamlatch/Rules/RuleSet.h
@@ -1,6 +1,6 @@
 /// \file
-/// The rules in force, as immutable values. The parser makes them from the
-/// operators' text; placement and fleet decisions read them.
+/// Rules as immutable values. The parser creates them from the operators' text;
+/// placement and fleet decisions read them.
 
 #ifndef BALSAMLATCH_RULES_RULESET_H
 #define BALSAMLATCH_RULES_RULESET_H
@@ -17,11 +17,11 @@
 
 namespace balsamlatch {
 
-/// Where a rule stands in the text, and who asked for it.
+/// The place of a rule in the text, and who requested it.
 struct RuleOrigin {
   /// Line in the rules text, from 1.
   unsigned Line = 0;
-  /// The comment of the line: who asked for the rule.
+  /// The comment of the line, which names who requested the rule.
   std::string AskedBy;
 
   auto operator<=>(const RuleOrigin &) const = default;
@@ -39,7 +39,7 @@
   auto operator<=>(const AwayBudget &) const = default;
 };
 
-/// What a task takes of a worker while it runs.
+/// The resources of a worker that a task occupies while it runs.
 struct TaskSize {
   std::uint32_t MilliCores = 0;
   std::uint32_t MemoryMiB = 0;
@@ -48,15 +48,15 @@
   auto operator<=>(const TaskSize &) const = default;
 };
 
-/// A group of hosts that carries certain jobs. Each host is in one pool.
+/// A group of hosts that runs certain jobs. Each host belongs to one pool.
 struct PoolRule {
   PoolName Pool;
-  /// The spare pool: lends capacity to the pools that a spill rule names.
+  /// Whether this is the spare pool, which lends capacity to other pools.
   bool Spare = false;
   AwayBudget Away;
   /// Number of hosts the pool should have; the spare pool returns to it.
   std::uint32_t Hosts = 0;
-  /// What one worker of the pool offers in all.
+  /// The total resources of one worker of the pool.
   TaskSize WorkerSize;
   RuleOrigin Origin;
 
@@ -65,16 +65,16 @@
 
 enum class JobClass { Prompt, Patient };
 
-/// A kind of work that callers ask for.
+/// A kind of work that callers request.
 struct JobRule {
   JobName Job;
   PoolName Pool;
   JobClass Class = JobClass::Prompt;
-  /// Time from arrival to the whole answer.
+  /// Maximum time from the arrival of a request to its complete answer.
   Duration Deadline{};
-  /// Whether running it twice does no harm.
+  /// Whether it may run more than once.
   bool Idempotent = false;
-  /// Declared size and run time; both may be far off.
+  /// Declared size and run time; the actual values may differ widely.
   TaskSize Size;
   Duration RunTime{};
   /// Whether bursts of this job may run on the spare pool's workers.
@@ -126,7 +126,7 @@
   auto operator<=>(const MaintenanceRule &) const = default;
 };
 
-/// How much one move and one idle host hour weigh against each other.
+/// The relative cost of one move and of one idle host hour.
 struct WeightRule {
   std::uint32_t Moves = 1;
   std::uint32_t Buffer = 1;
@@ -135,7 +135,7 @@
   auto operator<=>(const WeightRule &) const = default;
 };
 
-/// One of the two who must sign each change.
+/// One of the two co-owners, who must both sign each change.
 struct OwnerRule {
   OwnerName Owner;
   /// Raw Ed25519 public key, as 64 hexadecimal digits.
@@ -145,7 +145,8 @@
   auto operator<=>(const OwnerRule &) const = default;
 };
 
-/// All rules of one version. Immutable once made; shared between threads.
+/// All rules of one version. Immutable after construction; shared between
+/// threads.
 struct RuleSet {
   RulesVersion Version;
   std::map<PoolName, PoolRule> Pools;
--- a/Tests/Rules/ChainTest.cpp
+++ b/Tests/Rules/ChainTest.cpp
@@ -133,7 +133,7 @@
   ChainView View = firstView(Keys);
   for (unsigned I = 0; I < 100; ++I) {
     View = withQuota(View, Keys, 20 + I % 7, I % 5 != 0);
-    BOOST_TEST(View.Head.Changes.size() <= HeadChangesMost);
+    BOOST_TEST(View.Head.Changes.size() <= HeadCompactionChanges);
     const absl::StatusOr<ChainView> Fresh =
         viewChain(printHead(View.Head), printBase(View.Base), Keys.keys());
     BOOST_REQUIRE(Fresh.ok());
