--- a/Tests/Rules/ChainFixture.h
+++ b/Tests/Rules/ChainFixture.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keys and a short text for tests of the chain.
+/// Keys, a short rules text and helper functions for tests of the chain.
 
 #ifndef BALSAMLATCH_TESTS_RULES_CHAINFIXTURE_H
 #define BALSAMLATCH_TESTS_RULES_CHAINFIXTURE_H
@@ -12,16 +12,16 @@
 
 namespace balsamlatch::test {
 
-inline PrivateKey keyOf(std::string_view Name) {
+inline PrivateKey exampleKey(std::string_view Name) {
   const Digest Seed = sha256(fmt::format("balsamlatch example key {}", Name));
   return *PrivateKey::fromSeed(Seed.Bytes);
 }
 
 /// Anna and Beat own the rules; Carl doesn't.
 struct Owners {
-  PrivateKey Anna = keyOf("anna");
-  PrivateKey Beat = keyOf("beat");
-  PrivateKey Carl = keyOf("carl");
+  PrivateKey Anna = exampleKey("anna");
+  PrivateKey Beat = exampleKey("beat");
+  PrivateKey Carl = exampleKey("carl");
 
   OwnerKeys keys() const {
     return ownerKeys(Anna.publicKey(), Beat.publicKey());
@@ -33,7 +33,7 @@
                      Name);
 }
 
-inline std::string firstText(const Owners &Keys) {
+inline std::string initialText(const Owners &Keys) {
   return ownerLine("anna", Keys.Anna) + "\n" + ownerLine("beat", Keys.Beat) +
          "\n"
          "pool counting 10 hosts away 10% worker 64 cores 256 GiB # Beat\n"
@@ -43,15 +43,15 @@
          "away rack 2 hosts # Anna\n";
 }
 
-inline ChainView firstView(const Owners &Keys) {
-  return *startChain(firstText(Keys), RulesVersion(1), "n0", Keys.Anna,
+inline ChainView initialView(const Owners &Keys) {
+  return *startChain(initialText(Keys), RulesVersion(1), "n0", Keys.Anna,
                      Keys.Beat);
 }
 
-/// The text with the first \p From replaced by \p To.
-inline std::string replaced(std::string Text, const std::string &From,
-                            const std::string &To) {
-  return Text.replace(Text.find(From), From.size(), To);
+/// The text with the first \p Pattern replaced by \p Replacement.
+inline std::string replaceFirst(std::string Text, const std::string &Pattern,
+                                const std::string &Replacement) {
+  return Text.replace(Text.find(Pattern), Pattern.size(), Replacement);
 }
 
 /// A change of the view's text, signed by the keys.
@@ -59,26 +59,26 @@
 signedChange(const ChainView &View, const std::string &NewText,
              std::initializer_list<const PrivateKey *> Signers,
              const std::string &Nonce = "n") {
-  SignedChange Subject{
+  SignedChange Proposal{
       *makeChange(View, {View.Latest.version(), View.Latest.text(), NewText},
                   {OwnerName("anna"), "test", 0, Nonce}),
       {}};
   for (const PrivateKey *Key : Signers) {
-    Subject.Approvals.push_back(approve(Subject.Content, *Key));
+    Proposal.Approvals.push_back(approve(Proposal.Content, *Key));
   }
-  return Subject;
+  return Proposal;
 }
 
-/// The view after a change that sets the drivers' quota.
-inline ChainView withQuota(const ChainView &View, const Owners &Keys,
-                           unsigned Slots, bool AnnaLands = true) {
+/// The view after a landed change that sets the drivers' quota.
+inline ChainView landQuotaChange(const ChainView &View, const Owners &Keys,
+                                 unsigned Slots, bool AnnaLands = true) {
   std::string Text = View.Latest.text();
   const std::size_t Start = Text.find("quota drivers ");
   Text.replace(Start, Text.find('\n', Start) - Start,
                fmt::format("quota drivers {} slots in counting # Beat", Slots));
-  const SignedChange Subject =
+  const SignedChange Proposal =
       signedChange(View, Text, {&Keys.Anna, &Keys.Beat});
-  return planLanding(View, Subject, AnnaLands ? Keys.Anna : Keys.Beat)->View;
+  return planLanding(View, Proposal, AnnaLands ? Keys.Anna : Keys.Beat)->View;
 }
 
 } // namespace balsamlatch::test
--- a/Tests/Rules/KeysTest.cpp
+++ b/Tests/Rules/KeysTest.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-PrivateKey testKey(std::uint8_t Fill) {
+PrivateKey testKey(std::uint8_t SeedByte) {
   std::array<std::uint8_t, 32> Seed{};
-  Seed.fill(Fill);
+  Seed.fill(SeedByte);
   return *PrivateKey::fromSeed(Seed);
 }
 
-/// A folder that is removed at the end.
-struct Folder {
+/// A directory that is removed on destruction.
+struct TemporaryDirectory {
   std::filesystem::path Path = std::filesystem::temp_directory_path() /
                                fmt::format("balsamlatch-keys-{}", ::getpid());
 
-  Folder() { std::filesystem::create_directories(Path); }
-  ~Folder() { std::filesystem::remove_all(Path); }
+  TemporaryDirectory() { std::filesystem::create_directories(Path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(Path); }
 };
 
 } // namespace
@@ -49,30 +49,31 @@
 
 BOOST_AUTO_TEST_CASE(OnlyTheRightKeyAndMessageVerify) {
   const PrivateKey Key = testKey(1);
-  Signature Signed = Key.sign("message");
-  BOOST_TEST(verifySignature(Key.publicKey(), "message", Signed));
-  BOOST_TEST(!verifySignature(Key.publicKey(), "massage", Signed));
-  BOOST_TEST(!verifySignature(testKey(2).publicKey(), "message", Signed));
-  Signed.Bytes[5] ^= 1U;
-  BOOST_TEST(!verifySignature(Key.publicKey(), "message", Signed));
+  Signature SignatureValue = Key.sign("message");
+  BOOST_TEST(verifySignature(Key.publicKey(), "message", SignatureValue));
+  BOOST_TEST(!verifySignature(Key.publicKey(), "massage", SignatureValue));
+  BOOST_TEST(
+      !verifySignature(testKey(2).publicKey(), "message", SignatureValue));
+  SignatureValue.Bytes[5] ^= 1U;
+  BOOST_TEST(!verifySignature(Key.publicKey(), "message", SignatureValue));
 }
 
 BOOST_AUTO_TEST_CASE(KeyFilesAreForTheirUserOnly) {
-  const Folder Temporary;
-  const std::string Path = (Temporary.Path / "anna.key").string();
+  const TemporaryDirectory Directory;
+  const std::string Path = (Directory.Path / "anna.key").string();
   const PrivateKey Key = testKey(3);
   BOOST_REQUIRE(writeKeyFile(Path, Key).ok());
-  struct stat About {};
-  BOOST_REQUIRE(::stat(Path.c_str(), &About) == 0);
-  BOOST_TEST((About.st_mode & 07777U) == 0600U);
+  struct stat FileStatus {};
+  BOOST_REQUIRE(::stat(Path.c_str(), &FileStatus) == 0);
+  BOOST_TEST((FileStatus.st_mode & 07777U) == 0600U);
   BOOST_TEST(absl::IsAlreadyExists(writeKeyFile(Path, Key)));
 
-  const absl::StatusOr<PrivateKey> Back = readKeyFile(Path);
-  BOOST_REQUIRE(Back.ok());
-  BOOST_TEST((Back->publicKey() == Key.publicKey()));
+  const absl::StatusOr<PrivateKey> ReadBack = readKeyFile(Path);
+  BOOST_REQUIRE(ReadBack.ok());
+  BOOST_TEST((ReadBack->publicKey() == Key.publicKey()));
 
-  for (const mode_t Loose : {0640U, 0604U, 0620U, 0660U}) {
-    BOOST_REQUIRE(::chmod(Path.c_str(), Loose) == 0);
+  for (const mode_t UnsafeMode : {0640U, 0604U, 0620U, 0660U}) {
+    BOOST_REQUIRE(::chmod(Path.c_str(), UnsafeMode) == 0);
     BOOST_TEST(absl::IsPermissionDenied(readKeyFile(Path).status()));
   }
 }
--- a/Tests/Rules/ParserTest.cpp
+++ b/Tests/Rules/ParserTest.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 std::string exampleText(const std::string &Name) {
-  std::ifstream In(std::string(BALSAMLATCH_EXAMPLES) + "/" + Name);
+  std::ifstream File(std::string(BALSAMLATCH_EXAMPLES) + "/" + Name);
   std::ostringstream Text;
-  Text << In.rdbuf();
+  Text << File.rdbuf();
   return Text.str();
 }
 
@@ -38,7 +38,7 @@
   for (const RuleForm &Form : RuleForms) {
     const ParsedRules Parsed = parseRules("x", Form.Example);
     for (const Finding &F : Parsed.Problems.all()) {
-      // A line alone lacks the others, but its own form is right.
+      // A single line lacks the rules it refers to, but must match its form.
       BOOST_TEST(F.Remedy.find("write ") == std::string::npos, Form.Word);
     }
   }
@@ -61,10 +61,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(FindingsAcrossRules) {
-  const std::string Good = exampleText("brunnengeld.rules");
+  const std::string ValidText = exampleText("brunnengeld.rules");
   struct Case {
-    const char *From;
-    const char *To;
+    const char *Pattern;
+    const char *Replacement;
     const char *Message;
   };
   for (const Case &C : std::initializer_list<Case>{
@@ -87,42 +87,44 @@
            {"owner beat key", "# owner beat key", "1 of two co-owners"},
            {"job tally-crew", "job count-coins", "given twice"},
            {" # Beat, drivers\npool", "\npool", "nobody is named"}}) {
-    std::string Text = Good;
-    Text.replace(Text.find(C.From), std::string(C.From).size(), C.To);
-    const std::string Found = parseRules("x", Text).Problems.render();
-    BOOST_TEST(Found.find(C.Message) != std::string::npos,
-               C.Message << " in " << Found);
+    std::string Text = ValidText;
+    Text.replace(Text.find(C.Pattern), std::string(C.Pattern).size(),
+                 C.Replacement);
+    const std::string Rendered = parseRules("x", Text).Problems.render();
+    BOOST_TEST(Rendered.find(C.Message) != std::string::npos,
+               C.Message << " in " << Rendered);
   }
 }
 
 BOOST_AUTO_TEST_CASE(MutatedTextsNeitherCrashNorChangeByFormatting) {
   std::mt19937 Random(7);
   const std::string Bytes("\t #%\r\n0aé\0\x80\xff", 13);
-  const std::string Good = exampleText("nile-tread.rules");
+  const std::string ValidText = exampleText("nile-tread.rules");
   for (int Round = 0; Round < 2000; ++Round) {
-    std::string Text = Good;
+    std::string Text = ValidText;
     for (unsigned Edits = Random() % 4 + 1; Edits > 0; --Edits) {
-      const std::size_t At = Random() % Text.size();
+      const std::size_t Position = Random() % Text.size();
       switch (Random() % 4) {
       case 0:
-        Text[At] = Bytes[Random() % Bytes.size()];
+        Text[Position] = Bytes[Random() % Bytes.size()];
         break;
       case 1:
-        Text.erase(At, Random() % 40);
+        Text.erase(Position, Random() % 40);
         break;
       case 2:
-        Text.insert(At, Text.substr(Random() % Text.size(), Random() % 60));
+        Text.insert(Position,
+                    Text.substr(Random() % Text.size(), Random() % 60));
         break;
       default:
-        Text.insert(At, 1, Bytes[Random() % Bytes.size()]);
+        Text.insert(Position, 1, Bytes[Random() % Bytes.size()]);
       }
     }
-    const ParsedRules Once = parseRules("x", Text);
-    const std::string Tidy = formatRules(Text);
-    const ParsedRules Twice = parseRules("x", Tidy);
-    BOOST_REQUIRE(Once.Problems.hasErrors() == Twice.Problems.hasErrors());
-    BOOST_REQUIRE((Once.Rules == Twice.Rules));
-    BOOST_REQUIRE(formatRules(Tidy) == Tidy);
-    BOOST_REQUIRE(Once.Problems.all().size() < 200U);
+    const ParsedRules Parsed = parseRules("x", Text);
+    const std::string Formatted = formatRules(Text);
+    const ParsedRules Reparsed = parseRules("x", Formatted);
+    BOOST_REQUIRE(Parsed.Problems.hasErrors() == Reparsed.Problems.hasErrors());
+    BOOST_REQUIRE((Parsed.Rules == Reparsed.Rules));
+    BOOST_REQUIRE(formatRules(Formatted) == Formatted);
+    BOOST_REQUIRE(Parsed.Problems.all().size() < 200U);
   }
 }
