--- a/Source/Rules/Check.cpp
+++ b/Source/Rules/Check.cpp
@@ -73,12 +73,13 @@
 void Checker::checkOwners() {
   if (Rules.Owners.size() < RequiredOwners) {
     const auto LastLine = static_cast<unsigned>(Source.Lines.size());
-    Finding Missing;
-    Missing.Place = {Source.File, std::max(1U, LastLine), 1};
-    Missing.Message = fmt::format("{} of two co-owners", Rules.Owners.size());
-    Missing.Remedy =
+    Finding CountFinding;
+    CountFinding.Place = {Source.File, std::max(1U, LastLine), 1};
+    CountFinding.Message =
+        fmt::format("{} of two co-owners", Rules.Owners.size());
+    CountFinding.Remedy =
         "add lines owner NAME key HEX # WHO-ASKED until there are two";
-    Problems.push_back(std::move(Missing));
+    Problems.push_back(std::move(CountFinding));
   }
   for (std::size_t I = 0; I < Rules.Owners.size(); ++I) {
     const OwnerRule &Owner = Rules.Owners[I];
@@ -174,12 +175,13 @@
   if (Rule.Origin.Line == 0) {
     return;
   }
-  Duration Daily = Rule.Windows.empty() ? Day : Duration::zero();
+  Duration DailyWindowTime = Rule.Windows.empty() ? Day : Duration::zero();
   for (const DailyWindow &Window : Rule.Windows) {
-    Daily += Window.From < Window.To ? Window.To - Window.From
-                                     : Day - Window.From + Window.To;
+    DailyWindowTime += Window.From < Window.To ? Window.To - Window.From
+                                               : Day - Window.From + Window.To;
   }
-  const Duration WindowTime = Rule.Period / Day * std::min(Daily, Day);
+  const Duration WindowTime =
+      Rule.Period / Day * std::min(DailyWindowTime, Day);
   for (const auto &[Name, Pool] : Rules.Pools) {
     const std::uint32_t HostsAway = maxHostsAway(Pool);
     if (HostsAway == 0) {
@@ -190,15 +192,16 @@
              "allow at least one host to be away");
       continue;
     }
-    const Duration Needed =
+    const Duration MaintenanceTime =
         (Pool.Hosts + HostsAway - 1) / HostsAway * HostMaintenance;
-    if (Needed > WindowTime) {
+    if (MaintenanceTime > WindowTime) {
       report(Rule.Origin, "every",
              fmt::format("pool {} has {} hosts, {} of them away at once: "
                          "maintenance takes {}, the windows of one period "
                          "give {}",
                          Name.Text, Pool.Hosts, HostsAway,
-                         formatDuration(Needed), formatDuration(WindowTime)),
+                         formatDuration(MaintenanceTime),
+                         formatDuration(WindowTime)),
              "allow a longer period, wider windows or more hosts away");
     }
   }
--- a/Source/Rules/Keys.cpp
+++ b/Source/Rules/Keys.cpp
@@ -165,9 +165,9 @@
     return fileError(Path);
   }
   const std::string Text = Key.pem();
-  const ssize_t Written =
+  const ssize_t WrittenBytes =
       ::write(KeyFile.descriptor(), Text.data(), Text.size());
-  if (Written != static_cast<ssize_t>(Text.size()) ||
+  if (WrittenBytes != static_cast<ssize_t>(Text.size()) ||
       ::fsync(KeyFile.descriptor()) != 0) {
     return fileError(Path);
   }
--- a/Source/Rules/Landing.cpp
+++ b/Source/Rules/Landing.cpp
@@ -199,11 +199,12 @@
   if (!NewOwnerKeys.ok()) {
     return NewOwnerKeys.status();
   }
-  std::vector<PublicKey> Missing =
+  std::vector<PublicKey> MissingKeys =
       requiredSigners(View.Latest.owners(), *NewOwnerKeys);
-  std::erase_if(
-      Missing, [&](const PublicKey &Key) { return approvedBy(Proposal, Key); });
-  return Missing;
+  std::erase_if(MissingKeys, [&](const PublicKey &Key) {
+    return approvedBy(Proposal, Key);
+  });
+  return MissingKeys;
 }
 
 absl::StatusOr<LandingPlan> planLanding(const ChainView &View,
