--- a/Source/Membership/include/balsamlatch/Membership/Member.h
+++ b/Source/Membership/include/balsamlatch/Membership/Member.h
@@ -32,7 +32,7 @@
   EntryName Entry;
   Address At;
   DataCentreName DataCentre;
-  /// Incremented by the entry itself, when it starts and when it refutes a
+  /// Raised by the entry itself, when it starts and when it refutes a
   /// report that it is suspect, dead or left.
   std::uint64_t Incarnation = 0;
   MemberState State = MemberState::Alive;
--- a/Source/Wire/JsonReader.cpp
+++ b/Source/Wire/JsonReader.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Typed reading of JSON objects.
+/// Typed access to the members of JSON objects.
 
 #include "balsamlatch/Wire/JsonReader.h"
 
@@ -12,138 +12,138 @@
 
 namespace {
 
-/// What a read falls back to after a fault.
-const json::value &emptyValue() {
-  static const json::value Empty = json::object();
-  return Empty;
+/// Read in place of a missing or mistyped object.
+const json::value &emptyObject() {
+  static const json::value EmptyObject = json::object();
+  return EmptyObject;
 }
 
-bool readUnsigned(const json::value &Value, std::uint64_t Most,
-                  std::uint64_t &Out) {
+bool toUnsigned(const json::value &Value, std::uint64_t Max,
+                std::uint64_t &Result) {
   json::error_code Error;
-  Out = Value.to_number<std::uint64_t>(Error);
-  return !Error && !Value.is_double() && Out <= Most;
+  Result = Value.to_number<std::uint64_t>(Error);
+  return !Error && !Value.is_double() && Result <= Max;
 }
 
 } // namespace
 
-JsonReader::JsonReader(const json::value &Value, std::string Where,
-                       absl::Status &FirstFault)
-    : Object(&Value), Place(std::move(Where)), Fault(&FirstFault) {
+JsonReader::JsonReader(const json::value &Value, std::string ObjectPath,
+                       absl::Status &Status)
+    : Object(&Value), Path(std::move(ObjectPath)), FirstError(&Status) {
   if (!Value.is_object()) {
-    fail("", "an object");
-    Object = &emptyValue();
+    reportError("", "an object");
+    Object = &emptyObject();
   }
 }
 
-void JsonReader::fail(std::string_view Name, std::string_view Wanted) {
-  if (Fault->ok()) {
-    *Fault = absl::InvalidArgumentError(
-        fmt::format("{}: '{}' must be {}", Place, Name, Wanted));
+void JsonReader::reportError(std::string_view Name, std::string_view Expected) {
+  if (FirstError->ok()) {
+    *FirstError = absl::InvalidArgumentError(
+        fmt::format("{}: '{}' must be {}", Path, Name, Expected));
   }
 }
 
-const json::value *JsonReader::member(std::string_view Name,
-                                      std::string_view Wanted) {
-  const json::value *Found =
+const json::value *JsonReader::findField(std::string_view Name,
+                                         std::string_view Expected) {
+  const json::value *Field =
       Object->get_object().if_contains({Name.data(), Name.size()});
-  if (Found == nullptr) {
-    fail(Name, Wanted);
+  if (Field == nullptr) {
+    reportError(Name, Expected);
   }
-  return Found;
+  return Field;
 }
 
 std::string JsonReader::text(std::string_view Name) {
-  constexpr std::string_view Wanted = "a string";
-  const json::value *Found = member(Name, Wanted);
-  if (Found == nullptr || !Found->is_string()) {
-    fail(Name, Wanted);
+  constexpr std::string_view Expected = "a string";
+  const json::value *Field = findField(Name, Expected);
+  if (Field == nullptr || !Field->is_string()) {
+    reportError(Name, Expected);
     return {};
   }
-  return std::string(Found->get_string());
+  return std::string(Field->get_string());
 }
 
 std::uint64_t JsonReader::unsignedNumber(std::string_view Name,
-                                         std::uint64_t Most) {
-  constexpr std::string_view Wanted = "a whole number in range";
-  const json::value *Found = member(Name, Wanted);
+                                         std::uint64_t Max) {
+  constexpr std::string_view Expected = "a whole number in range";
+  const json::value *Field = findField(Name, Expected);
   std::uint64_t Value = 0;
-  if (Found == nullptr || !readUnsigned(*Found, Most, Value)) {
-    fail(Name, Wanted);
+  if (Field == nullptr || !toUnsigned(*Field, Max, Value)) {
+    reportError(Name, Expected);
     return 0;
   }
   return Value;
 }
 
 std::int64_t JsonReader::signedNumber(std::string_view Name) {
-  constexpr std::string_view Wanted = "a whole number";
-  const json::value *Found = member(Name, Wanted);
-  if (Found == nullptr || !Found->is_int64()) {
-    fail(Name, Wanted);
+  constexpr std::string_view Expected = "a whole number";
+  const json::value *Field = findField(Name, Expected);
+  if (Field == nullptr || !Field->is_int64()) {
+    reportError(Name, Expected);
     return 0;
   }
-  return Found->get_int64();
+  return Field->get_int64();
 }
 
-int JsonReader::numberUpTo(std::string_view Name, int Most) {
+int JsonReader::numberUpTo(std::string_view Name, int Max) {
   return static_cast<int>(
-      unsignedNumber(Name, static_cast<std::uint64_t>(Most)));
+      unsignedNumber(Name, static_cast<std::uint64_t>(Max)));
 }
 
 JsonReader JsonReader::object(std::string_view Name) {
-  const json::value *Found = member(Name, "an object");
-  const json::value &Inner = Found == nullptr ? emptyValue() : *Found;
-  return JsonReader(Inner, fmt::format("{}.{}", Place, Name), *Fault);
+  const json::value *Field = findField(Name, "an object");
+  const json::value &InnerObject = Field == nullptr ? emptyObject() : *Field;
+  return JsonReader(InnerObject, fmt::format("{}.{}", Path, Name), *FirstError);
 }
 
 std::vector<JsonReader> JsonReader::objects(std::string_view Name) {
-  constexpr std::string_view Wanted = "an array of objects";
-  const json::value *Found = member(Name, Wanted);
-  std::vector<JsonReader> All;
-  if (Found == nullptr || !Found->is_array()) {
-    fail(Name, Wanted);
-    return All;
+  constexpr std::string_view Expected = "an array of objects";
+  const json::value *Field = findField(Name, Expected);
+  std::vector<JsonReader> Readers;
+  if (Field == nullptr || !Field->is_array()) {
+    reportError(Name, Expected);
+    return Readers;
   }
-  for (const json::value &Item : Found->get_array()) {
-    All.emplace_back(Item, fmt::format("{}.{}", Place, Name), *Fault);
+  for (const json::value &Item : Field->get_array()) {
+    Readers.emplace_back(Item, fmt::format("{}.{}", Path, Name), *FirstError);
   }
-  return All;
+  return Readers;
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> JsonReader::numbers() {
-  std::vector<std::pair<std::string, std::uint64_t>> All;
-  for (const auto &Entry : Object->get_object()) {
-    const std::string Name(Entry.key());
-    All.emplace_back(
+  std::vector<std::pair<std::string, std::uint64_t>> Numbers;
+  for (const auto &Field : Object->get_object()) {
+    const std::string Name(Field.key());
+    Numbers.emplace_back(
         Name, unsignedNumber(Name, std::numeric_limits<std::uint64_t>::max()));
   }
-  return All;
+  return Numbers;
 }
 
 std::vector<std::pair<std::string, std::uint32_t>>
 JsonReader::pairs(std::string_view Name) {
-  constexpr std::string_view Wanted = "an array of [text, number] pairs";
+  constexpr std::string_view Expected = "an array of [text, number] pairs";
   constexpr std::size_t PairSize = 2;
-  const json::value *Found = member(Name, Wanted);
-  std::vector<std::pair<std::string, std::uint32_t>> All;
-  if (Found == nullptr || !Found->is_array()) {
-    fail(Name, Wanted);
-    return All;
+  const json::value *Field = findField(Name, Expected);
+  std::vector<std::pair<std::string, std::uint32_t>> Pairs;
+  if (Field == nullptr || !Field->is_array()) {
+    reportError(Name, Expected);
+    return Pairs;
   }
-  for (const json::value &Item : Found->get_array()) {
+  for (const json::value &Item : Field->get_array()) {
     const json::array *Pair = Item.if_array();
     std::uint64_t Value = 0;
-    const bool Fits = Pair != nullptr && Pair->size() == PairSize &&
-                      (*Pair)[0].is_string() &&
-                      readUnsigned((*Pair)[1], UINT32_MAX, Value);
-    if (!Fits) {
-      fail(Name, Wanted);
+    const bool IsValid = Pair != nullptr && Pair->size() == PairSize &&
+                         (*Pair)[0].is_string() &&
+                         toUnsigned((*Pair)[1], UINT32_MAX, Value);
+    if (!IsValid) {
+      reportError(Name, Expected);
       return {};
     }
-    All.emplace_back(std::string((*Pair)[0].get_string()),
-                     static_cast<std::uint32_t>(Value));
+    Pairs.emplace_back(std::string((*Pair)[0].get_string()),
+                       static_cast<std::uint32_t>(Value));
   }
-  return All;
+  return Pairs;
 }
 
 } // namespace balsamlatch::wire
--- a/Source/Wire/OwnerOrder.cpp
+++ b/Source/Wire/OwnerOrder.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// JSON form and check of owners' orders.
+/// JSON encoding, signing and verification of owners' orders.
 
 #include "balsamlatch/Wire/OwnerOrder.h"
 
@@ -13,21 +13,25 @@
 
 namespace {
 
-/// Keeps a signature on an order from being one on anything else.
-constexpr std::string_view SignaturePurpose = "balsamlatch fleet order\n";
+/// Domain separation: a signature on an order isn't valid for other documents
+/// signed with the same key.
+constexpr std::string_view SignatureContext = "balsamlatch fleet order\n";
 
 std::string signedText(std::string_view Body) {
-  return std::string(SignaturePurpose) + std::string(Body);
+  return std::string(SignatureContext) + std::string(Body);
 }
 
-std::string textOf(const boost::json::object &From, std::string_view Member) {
-  const boost::json::value *Found = From.if_contains(Member);
-  return Found != nullptr && Found->is_string()
-             ? std::string(Found->get_string())
+std::string stringMember(const boost::json::object &Object,
+                         std::string_view Name) {
+  const boost::json::value *Value = Object.if_contains(Name);
+  return Value != nullptr && Value->is_string()
+             ? std::string(Value->get_string())
              : std::string();
 }
 
-Duration distance(WallTime A, WallTime B) { return A < B ? B - A : A - B; }
+Duration absoluteDifference(WallTime A, WallTime B) {
+  return A < B ? B - A : A - B;
+}
 
 } // namespace
 
@@ -42,23 +46,24 @@
 }
 
 absl::StatusOr<OwnerOrder> decodeOrder(std::string_view Body) {
-  boost::system::error_code Fault;
-  const boost::json::value Parsed = boost::json::parse(Body, Fault);
-  if (Fault || !Parsed.is_object()) {
+  boost::system::error_code Error;
+  const boost::json::value Root = boost::json::parse(Body, Error);
+  if (Error || !Root.is_object()) {
     return absl::InvalidArgumentError("the body is not a JSON object");
   }
-  const boost::json::object &Members = Parsed.get_object();
-  const boost::json::value *SentAt = Members.if_contains("sent_at_us");
+  const boost::json::object &Object = Root.get_object();
+  const boost::json::value *SentAt = Object.if_contains("sent_at_us");
   if (SentAt == nullptr || !SentAt->is_int64()) {
-    return absl::InvalidArgumentError("the member 'sent_at_us' is no number");
+    return absl::InvalidArgumentError(
+        "the member 'sent_at_us' is not an integer");
   }
   OwnerOrder Order;
-  Order.Verb = textOf(Members, "verb");
-  Order.Host = HostName(textOf(Members, "host"));
-  Order.Pool = PoolName(textOf(Members, "pool"));
-  Order.Entry = EntryName(textOf(Members, "entry"));
+  Order.Verb = stringMember(Object, "verb");
+  Order.Host = HostName(stringMember(Object, "host"));
+  Order.Pool = PoolName(stringMember(Object, "pool"));
+  Order.Entry = EntryName(stringMember(Object, "entry"));
   Order.SentAt = WallTime(Duration(SentAt->get_int64()));
-  Order.Nonce = textOf(Members, "nonce");
+  Order.Nonce = stringMember(Object, "nonce");
   if (Order.Verb.empty()) {
     return absl::InvalidArgumentError("the member 'verb' is missing");
   }
@@ -72,34 +77,34 @@
   return Key.sign(signedText(Body));
 }
 
-absl::StatusOr<OwnerName> OwnerOrderChecker::check(
-    std::string_view Body, const OwnerOrder &Order, std::string_view KeyDigits,
-    std::string_view SignatureDigits, const RuleSet &Rules, WallTime Now) {
-  const auto Owner = std::find_if(Rules.Owners.begin(), Rules.Owners.end(),
-                                  [KeyDigits](const OwnerRule &Rule) {
-                                    return Rule.PublicKey == KeyDigits;
-                                  });
+absl::StatusOr<OwnerName>
+OwnerOrderChecker::check(std::string_view Body, const OwnerOrder &Order,
+                         std::string_view KeyHex, std::string_view SignatureHex,
+                         const RuleSet &Rules, WallTime Now) {
+  const auto Owner = std::find_if(
+      Rules.Owners.begin(), Rules.Owners.end(),
+      [KeyHex](const OwnerRule &Rule) { return Rule.PublicKey == KeyHex; });
   if (Owner == Rules.Owners.end()) {
     return absl::UnauthenticatedError("the key is not that of a co-owner");
   }
-  const auto Key = parseHex<PublicKey>(KeyDigits);
-  const auto Signed = parseHex<Signature>(SignatureDigits);
-  if (!Key.ok() || !Signed.ok() ||
-      !verifySignature(*Key, signedText(Body), *Signed)) {
-    return absl::UnauthenticatedError("the signature does not fit the order");
+  const auto Key = parseHex<PublicKey>(KeyHex);
+  const auto OwnerSignature = parseHex<Signature>(SignatureHex);
+  if (!Key.ok() || !OwnerSignature.ok() ||
+      !verifySignature(*Key, signedText(Body), *OwnerSignature)) {
+    return absl::UnauthenticatedError("the signature does not match the order");
   }
-  if (Order.Entry != Entry) {
+  if (Order.Entry != LocalEntry) {
     return absl::UnauthenticatedError("the order is for another entry");
   }
-  if (distance(Order.SentAt, Now) > MostSkew) {
+  if (absoluteDifference(Order.SentAt, Now) > MaxClockSkew) {
     return absl::UnauthenticatedError(
-        "the order's time is too far from this entry's");
+        "the order's time differs too much from this entry's clock");
   }
-  std::erase_if(Seen, [Now](const auto &Known) {
-    return distance(Known.second, Now) > MostSkew;
+  std::erase_if(AcceptedOrders, [Now](const auto &AcceptedOrder) {
+    return absoluteDifference(AcceptedOrder.second, Now) > MaxClockSkew;
   });
-  if (!Seen.emplace(std::string(SignatureDigits), Order.SentAt).second) {
-    return absl::AlreadyExistsError("the order was received before");
+  if (!AcceptedOrders.emplace(std::string(SignatureHex), Order.SentAt).second) {
+    return absl::AlreadyExistsError("the order was already received");
   }
   return Owner->Owner;
 }
--- a/Source/Wire/PeerCodec.cpp
+++ b/Source/Wire/PeerCodec.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// JSON of the messages between entries, by Boost.JSON.
+/// JSON encoding and decoding of the messages between entries.
 
 #include "balsamlatch/Wire/PeerCodec.h"
 
@@ -18,7 +18,7 @@
 using namespace membership;
 using namespace placement;
 
-// ---- Writing ----------------------------------------------------------------
+// ---- Encoding ---------------------------------------------------------------
 
 json::object toJson(const Member &M) {
   return {{"entry", M.Entry.Text}, {"ip", M.At.Ip},
@@ -27,22 +27,23 @@
 }
 
 json::array toJson(const std::vector<Member> &Members) {
-  json::array All;
+  json::array Array;
   for (const Member &M : Members) {
-    All.push_back(toJson(M));
+    Array.push_back(toJson(M));
   }
-  return All;
+  return Array;
 }
 
-json::object toJson(const Versions &InForce) {
-  json::object All;
-  for (const auto &[Key, Version] : InForce) {
-    All[Key] = Version;
+json::object toJson(const Versions &VersionMap) {
+  json::object Object;
+  for (const auto &[Key, Version] : VersionMap) {
+    Object[Key] = Version;
   }
-  return All;
+  return Object;
 }
 
-template <typename T> json::object probeLike(const char *Kind, const T &P) {
+template <typename T>
+json::object probeOrAckToJson(const char *Kind, const T &P) {
   return {{"kind", Kind},
           {"seq", P.Sequence},
           {"from", toJson(P.Sender)},
@@ -50,8 +51,8 @@
           {"news", toJson(P.MemberUpdates)}};
 }
 
-/// Writes each kind of message.
-struct Writer {
+/// Visitor that encodes each kind of message as a JSON object.
+struct MessageEncoder {
   json::object operator()(const Message &M) const {
     return std::visit(*this, M);
   }
@@ -59,9 +60,11 @@
     return std::visit(*this, M);
   }
   json::object operator()(const Probe &P) const {
-    return probeLike("probe", P);
+    return probeOrAckToJson("probe", P);
+  }
+  json::object operator()(const Ack &A) const {
+    return probeOrAckToJson("ack", A);
   }
-  json::object operator()(const Ack &A) const { return probeLike("ack", A); }
   json::object operator()(const ProbeRequest &R) const {
     return {{"kind", "probe-request"},
             {"seq", R.Sequence},
@@ -120,7 +123,7 @@
   }
 };
 
-// ---- Reading ----------------------------------------------------------------
+// ---- Decoding ---------------------------------------------------------------
 
 Member readMember(JsonReader Object) {
   Member M;
@@ -135,28 +138,28 @@
 }
 
 std::vector<Member> readMembers(JsonReader &Object, const char *Name) {
-  std::vector<Member> All;
+  std::vector<Member> Members;
   for (JsonReader &Item : Object.objects(Name)) {
-    All.push_back(readMember(Item));
+    Members.push_back(readMember(Item));
   }
-  return All;
+  return Members;
 }
 
 Versions readVersions(JsonReader &Object) {
-  Versions All;
+  Versions VersionMap;
   for (const auto &[Key, Version] : Object.object("versions").numbers()) {
-    All[Key] = Version;
+    VersionMap[Key] = Version;
   }
-  return All;
+  return VersionMap;
 }
 
-template <typename T> PeerMessage readProbeLike(JsonReader &Object) {
-  T Read;
-  Read.Sequence = Object.number<std::uint64_t>("seq");
-  Read.Sender = readMember(Object.object("from"));
-  Read.InForce = readVersions(Object);
-  Read.MemberUpdates = readMembers(Object, "news");
-  return Message(std::move(Read));
+template <typename T> PeerMessage readProbeOrAck(JsonReader &Object) {
+  T Result;
+  Result.Sequence = Object.number<std::uint64_t>("seq");
+  Result.Sender = readMember(Object.object("from"));
+  Result.InForce = readVersions(Object);
+  Result.MemberUpdates = readMembers(Object, "news");
+  return Message(std::move(Result));
 }
 
 PeerMessage readProbeRequest(JsonReader &Object) {
@@ -181,36 +184,37 @@
 }
 
 PeerMessage readSlotAsk(JsonReader &Object) {
-  SlotAsk Read;
-  Read.Pool = PoolName(Object.text("pool"));
-  Read.Prompt = Object.number<std::uint32_t>("prompt");
-  Read.Patient = Object.number<std::uint32_t>("patient");
-  Read.EarliestDeadline = Duration(Object.number<std::int64_t>("deadline_us"));
+  SlotAsk Result;
+  Result.Pool = PoolName(Object.text("pool"));
+  Result.Prompt = Object.number<std::uint32_t>("prompt");
+  Result.Patient = Object.number<std::uint32_t>("patient");
+  Result.EarliestDeadline =
+      Duration(Object.number<std::int64_t>("deadline_us"));
   for (const auto &[Host, Slots] : Object.pairs("in_use")) {
-    Read.InUse.emplace_back(HostName(Host), Slots);
+    Result.InUse.emplace_back(HostName(Host), Slots);
   }
-  Read.For = PoolName(Object.text("for"));
-  Read.Sequence = Object.number<std::uint64_t>("seq");
-  Read.LastGrant = Object.number<std::uint64_t>("last_grant");
-  Read.PatientInUse = Object.number<std::uint32_t>("patient_in_use");
+  Result.For = PoolName(Object.text("for"));
+  Result.Sequence = Object.number<std::uint64_t>("seq");
+  Result.LastGrant = Object.number<std::uint64_t>("last_grant");
+  Result.PatientInUse = Object.number<std::uint32_t>("patient_in_use");
   for (JsonReader &Item : Object.objects("avoid")) {
-    Read.Avoid.emplace_back(Item.text("host"));
+    Result.Avoid.emplace_back(Item.text("host"));
   }
-  return SlotMessage(std::move(Read));
+  return SlotMessage(std::move(Result));
 }
 
 PeerMessage readSlotGrant(JsonReader &Object) {
-  SlotGrant Read;
-  Read.Pool = PoolName(Object.text("pool"));
-  Read.Host = HostName(Object.text("host"));
-  Read.Slots = Object.number<std::uint32_t>("slots");
-  Read.ValidFor = Duration(Object.number<std::int64_t>("valid_us"));
-  Read.For = PoolName(Object.text("for"));
-  Read.Class = static_cast<JobClass>(
+  SlotGrant Result;
+  Result.Pool = PoolName(Object.text("pool"));
+  Result.Host = HostName(Object.text("host"));
+  Result.Slots = Object.number<std::uint32_t>("slots");
+  Result.ValidFor = Duration(Object.number<std::int64_t>("valid_us"));
+  Result.For = PoolName(Object.text("for"));
+  Result.Class = static_cast<JobClass>(
       Object.numberUpTo("class", static_cast<int>(JobClass::Patient)));
-  Read.Number = Object.number<std::uint64_t>("number");
-  Read.Free = Object.number<std::uint32_t>("free");
-  return SlotMessage(std::move(Read));
+  Result.Number = Object.number<std::uint64_t>("number");
+  Result.Free = Object.number<std::uint32_t>("free");
+  return SlotMessage(std::move(Result));
 }
 
 PeerMessage readSlotReturn(JsonReader &Object) {
@@ -221,10 +225,10 @@
 
 using ReadFunction = PeerMessage (*)(JsonReader &);
 
-ReadFunction readerOf(std::string_view Kind) {
-  static const std::map<std::string_view, ReadFunction> Readers = {
-      {"probe", &readProbeLike<Probe>},
-      {"ack", &readProbeLike<Ack>},
+ReadFunction findReadFunction(std::string_view Kind) {
+  static const std::map<std::string_view, ReadFunction> ReadFunctions = {
+      {"probe", &readProbeOrAck<Probe>},
+      {"ack", &readProbeOrAck<Ack>},
       {"probe-request", &readProbeRequest},
       {"push", &readPush},
       {"pull", &readPull},
@@ -233,47 +237,48 @@
       {"slot-grant", &readSlotGrant},
       {"slot-return", &readSlotReturn},
   };
-  const auto Found = Readers.find(Kind);
-  return Found == Readers.end() ? nullptr : Found->second;
+  const auto It = ReadFunctions.find(Kind);
+  return It == ReadFunctions.end() ? nullptr : It->second;
 }
 
 } // namespace
 
 std::string encodeBatch(const std::vector<PeerMessage> &Batch) {
-  json::array All;
+  json::array Array;
   for (const PeerMessage &M : Batch) {
-    All.push_back(std::visit(Writer(), M));
+    Array.push_back(std::visit(MessageEncoder(), M));
   }
-  return json::serialize(All);
+  return json::serialize(Array);
 }
 
 absl::StatusOr<std::vector<PeerMessage>> decodeBatch(std::string_view Text) {
   json::error_code Error;
-  const json::value Parsed = json::parse({Text.data(), Text.size()}, Error);
+  const json::value Root = json::parse({Text.data(), Text.size()}, Error);
   if (Error) {
-    return absl::InvalidArgumentError("a batch is a JSON array: " +
+    return absl::InvalidArgumentError("a batch must be a JSON array: " +
                                       Error.message());
   }
-  const json::array *Items = Parsed.if_array();
+  const json::array *Items = Root.if_array();
   if (Items == nullptr || Items->size() > MaxBatchMessages) {
-    return absl::InvalidArgumentError(fmt::format(
-        "a batch is a JSON array of at most {} messages", MaxBatchMessages));
+    return absl::InvalidArgumentError(
+        fmt::format("a batch must be a JSON array of at most {} messages",
+                    MaxBatchMessages));
   }
   std::vector<PeerMessage> Batch;
   for (std::size_t I = 0; I < Items->size(); ++I) {
-    absl::Status Fault;
-    JsonReader Object((*Items)[I], fmt::format("message {}", I), Fault);
+    absl::Status FirstError;
+    JsonReader Object((*Items)[I], fmt::format("message {}", I), FirstError);
     const std::string Kind = Object.text("kind");
-    const ReadFunction Read = readerOf(Kind);
-    if (Fault.ok() && Read == nullptr) {
-      // A newer entry may send kinds that this one doesn't know.
+    const ReadFunction ReadMessage = findReadFunction(Kind);
+    if (FirstError.ok() && ReadMessage == nullptr) {
+      // Ignored for forward compatibility: a newer entry may send other kinds.
       continue;
     }
-    if (Fault.ok()) {
-      Batch.push_back(Read(Object));
+    if (FirstError.ok()) {
+      Batch.push_back(ReadMessage(Object));
     }
-    if (!Fault.ok()) {
-      return Fault;
+    if (!FirstError.ok()) {
+      return FirstError;
     }
   }
   return Batch;
--- a/Source/Wire/PeerSeal.cpp
+++ b/Source/Wire/PeerSeal.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// HMAC-SHA256 seals and the window of sequences that refuses replays.
+/// HMAC-SHA256 authentication and a sliding replay window per sender.
 
 #include "balsamlatch/Wire/PeerSeal.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t WindowBits = 64;
+constexpr std::uint64_t ReplayWindowBits = 64;
 
-std::string hex(const unsigned char *Bytes, std::size_t Count) {
+std::string toHex(const unsigned char *Bytes, std::size_t Count) {
   std::string Text;
   Text.reserve(Count * 2);
   for (std::size_t I = 0; I < Count; ++I) {
@@ -26,37 +26,40 @@
   return Text;
 }
 
-/// Everything that the digest covers. Lengths keep the parts apart.
-std::string sealedText(const Seal &Value, std::string_view Body) {
+/// Returns the text that the digest covers. Length prefixes make the
+/// concatenation unambiguous.
+std::string authenticatedText(const Seal &Header, std::string_view Body) {
   return fmt::format("balsamlatch-peer-1\n{}:{}\n{}:{}\n{} {} {}\n{}:{}",
-                     Value.From.Text.size(), Value.From.Text,
-                     Value.To.Text.size(), Value.To.Text, Value.Incarnation,
-                     Value.Sequence, Value.SentAt.time_since_epoch().count(),
+                     Header.From.Text.size(), Header.From.Text,
+                     Header.To.Text.size(), Header.To.Text, Header.Incarnation,
+                     Header.Sequence, Header.SentAt.time_since_epoch().count(),
                      Body.size(), Body);
 }
 
-std::string digestOf(const Seal &Value, std::string_view Body,
-                     const std::string &Secret) {
-  const std::string Text = sealedText(Value, Body);
+std::string computeDigest(const Seal &Header, std::string_view Body,
+                          const std::string &Secret) {
+  const std::string Text = authenticatedText(Header, Body);
   std::array<unsigned char, EVP_MAX_MD_SIZE> Digest{};
   unsigned Size = 0;
   HMAC(EVP_sha256(), Secret.data(), static_cast<int>(Secret.size()),
        reinterpret_cast<const unsigned char *>(Text.data()), Text.size(),
        Digest.data(), &Size);
-  return hex(Digest.data(), Size);
+  return toHex(Digest.data(), Size);
 }
 
-bool sameText(std::string_view A, std::string_view B) {
+bool equalInConstantTime(std::string_view A, std::string_view B) {
   return A.size() == B.size() &&
          CRYPTO_memcmp(A.data(), B.data(), A.size()) == 0;
 }
 
-/// Takes "name=value" and a following space off the front of the text.
+/// Removes "name=value" and a following space from the start of the text and
+/// returns the value.
 absl::StatusOr<std::string> takeField(std::string_view &Text,
                                       std::string_view Name) {
   const std::string Prefix = fmt::format("{}=", Name);
   if (Text.substr(0, Prefix.size()) != Prefix) {
-    return absl::InvalidArgumentError(fmt::format("seal lacks '{}'", Prefix));
+    return absl::InvalidArgumentError(
+        fmt::format("the seal has no field '{}'", Prefix));
   }
   Text.remove_prefix(Prefix.size());
   const std::size_t End = Text.find(' ');
@@ -76,11 +79,11 @@
 
 } // namespace
 
-std::string formatSeal(const Seal &Value) {
+std::string formatSeal(const Seal &Header) {
   return fmt::format(
       "from={} to={} incarnation={} sequence={} sent={} digest={}",
-      Value.From.Text, Value.To.Text, Value.Incarnation, Value.Sequence,
-      Value.SentAt.time_since_epoch().count(), Value.Digest);
+      Header.From.Text, Header.To.Text, Header.Incarnation, Header.Sequence,
+      Header.SentAt.time_since_epoch().count(), Header.Digest);
 }
 
 absl::StatusOr<Seal> parseSeal(std::string_view Text) {
@@ -89,23 +92,23 @@
   const absl::StatusOr<std::uint64_t> Incarnation =
       takeNumber(Text, "incarnation");
   const absl::StatusOr<std::uint64_t> Sequence = takeNumber(Text, "sequence");
-  const absl::StatusOr<std::uint64_t> Sent = takeNumber(Text, "sent");
+  const absl::StatusOr<std::uint64_t> SentAtMicros = takeNumber(Text, "sent");
   const absl::StatusOr<std::string> Digest = takeField(Text, "digest");
-  for (const absl::Status &Part :
+  for (const absl::Status &FieldStatus :
        {From.status(), To.status(), Incarnation.status(), Sequence.status(),
-        Sent.status(), Digest.status()}) {
-    if (!Part.ok()) {
-      return Part;
+        SentAtMicros.status(), Digest.status()}) {
+    if (!FieldStatus.ok()) {
+      return FieldStatus;
     }
   }
   if (!Text.empty()) {
-    return absl::InvalidArgumentError("seal has text after its digest");
+    return absl::InvalidArgumentError("the seal has text after its digest");
   }
   return Seal{EntryName(*From),
               EntryName(*To),
               *Incarnation,
               *Sequence,
-              WallTime(Duration(static_cast<std::int64_t>(*Sent))),
+              WallTime(Duration(static_cast<std::int64_t>(*SentAtMicros))),
               *Digest};
 }
 
@@ -115,58 +118,65 @@
       Secret(std::move(Key)) {}
 
 Seal Sealer::seal(const EntryName &To, std::string_view Body, WallTime Now) {
-  Seal Value{Self, To, Incarnation, NextSequence++, Now, {}};
-  Value.Digest = digestOf(Value, Body, Secret);
-  return Value;
+  Seal Header{Self, To, Incarnation, NextSequence++, Now, {}};
+  Header.Digest = computeDigest(Header, Body, Secret);
+  return Header;
 }
 
 SealChecker::SealChecker(EntryName Receiver, std::string Key)
     : Self(std::move(Receiver)), Secret(std::move(Key)) {}
 
-absl::Status SealChecker::check(const Seal &Value, std::string_view Body,
+absl::Status SealChecker::check(const Seal &Header, std::string_view Body,
                                 WallTime Now) {
-  if (Value.To != Self) {
-    return absl::UnauthenticatedError(fmt::format(
-        "batch is for entry '{}', not for '{}'", Value.To.Text, Self.Text));
+  if (Header.To != Self) {
+    return absl::UnauthenticatedError(
+        fmt::format("batch is addressed to entry '{}', not to '{}'",
+                    Header.To.Text, Self.Text));
   }
-  if (!sameText(digestOf(Value, Body, Secret), Value.Digest)) {
+  if (!equalInConstantTime(computeDigest(Header, Body, Secret),
+                           Header.Digest)) {
     return absl::UnauthenticatedError(
         "digest doesn't match; check the peer secret");
   }
   const Duration Skew =
-      Now > Value.SentAt ? Now - Value.SentAt : Value.SentAt - Now;
-  if (Skew > MostSkew) {
-    return absl::UnauthenticatedError(fmt::format(
-        "sent {} away from this entry's clock; at most {} is accepted",
-        formatDuration(Skew), formatDuration(MostSkew)));
+      Now > Header.SentAt ? Now - Header.SentAt : Header.SentAt - Now;
+  if (Skew > MaxClockSkew) {
+    return absl::UnauthenticatedError(
+        fmt::format("the send time differs by {} from this entry's clock; at "
+                    "most {} is accepted",
+                    formatDuration(Skew), formatDuration(MaxClockSkew)));
   }
-  return admit(Value);
+  return checkReplay(Header);
 }
 
-absl::Status SealChecker::admit(const Seal &Value) {
-  Window &Known = Windows[Value.From];
-  if (Value.Incarnation < Known.Incarnation) {
-    return absl::AlreadyExistsError("sent before the sender's last start");
+absl::Status SealChecker::checkReplay(const Seal &Header) {
+  ReplayWindow &SenderWindow = ReplayWindows[Header.From];
+  if (Header.Incarnation < SenderWindow.Incarnation) {
+    return absl::AlreadyExistsError(
+        "the incarnation is older than the sender's last start");
   }
-  if (Value.Incarnation > Known.Incarnation) {
-    Known = Window{Value.Incarnation, 0, 0};
+  if (Header.Incarnation > SenderWindow.Incarnation) {
+    SenderWindow = ReplayWindow{Header.Incarnation, 0, 0};
   }
-  if (Value.Sequence > Known.Highest) {
-    const std::uint64_t Shift = Value.Sequence - Known.Highest;
-    Known.Seen = Shift >= WindowBits ? 0 : Known.Seen << Shift;
-    Known.Seen |= 1;
-    Known.Highest = Value.Sequence;
+  if (Header.Sequence > SenderWindow.HighestSequence) {
+    const std::uint64_t Shift = Header.Sequence - SenderWindow.HighestSequence;
+    SenderWindow.ReceivedBits =
+        Shift >= ReplayWindowBits ? 0 : SenderWindow.ReceivedBits << Shift;
+    SenderWindow.ReceivedBits |= 1;
+    SenderWindow.HighestSequence = Header.Sequence;
     return absl::OkStatus();
   }
-  const std::uint64_t Age = Known.Highest - Value.Sequence;
-  if (Age >= WindowBits) {
-    return absl::AlreadyExistsError("older than the window of sequences");
+  const std::uint64_t Age = SenderWindow.HighestSequence - Header.Sequence;
+  if (Age >= ReplayWindowBits) {
+    return absl::AlreadyExistsError(
+        "the sequence is older than the replay window");
   }
-  const std::uint64_t Bit = std::uint64_t(1) << Age;
-  if ((Known.Seen & Bit) != 0) {
-    return absl::AlreadyExistsError("a replay of a batch that was taken");
+  const std::uint64_t AgeBit = std::uint64_t(1) << Age;
+  if ((SenderWindow.ReceivedBits & AgeBit) != 0) {
+    return absl::AlreadyExistsError(
+        "replay of a batch that was already accepted");
   }
-  Known.Seen |= Bit;
+  SenderWindow.ReceivedBits |= AgeBit;
   return absl::OkStatus();
 }
 
--- a/Source/Wire/include/balsamlatch/Wire/JsonReader.h
+++ b/Source/Wire/include/balsamlatch/Wire/JsonReader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Reads typed members of a JSON object and keeps the first fault, so that a
-/// message is read straight through and checked once at the end.
+/// Reads typed members of a JSON object and records the first error, so that
+/// the caller can read a whole message and check for errors once at the end.
 
 #ifndef BALSAMLATCH_WIRE_JSONREADER_H
 #define BALSAMLATCH_WIRE_JSONREADER_H
@@ -16,16 +16,18 @@
 
 namespace balsamlatch::wire {
 
-/// A view of one JSON object. After a fault all reads give empty values. The
-/// value and the status must outlive the reader.
+/// Reads one JSON object. A member that is missing or of the wrong type sets
+/// the status, if it is still OK, and reads as empty or 0. The value and the
+/// status must outlive the reader.
 class JsonReader {
 public:
-  JsonReader(const boost::json::value &Object, std::string Place,
-             absl::Status &FirstFault);
+  /// \p Path names the object in error messages.
+  JsonReader(const boost::json::value &Object, std::string Path,
+             absl::Status &Status);
 
   std::string text(std::string_view Name);
 
-  /// A whole number within the range of the type.
+  /// Reads an integer. An unsigned one must be in the range of the type.
   template <typename T> T number(std::string_view Name) {
     if constexpr (std::numeric_limits<T>::is_signed) {
       return static_cast<T>(signedNumber(Name));
@@ -35,29 +37,29 @@
     }
   }
 
-  /// A whole number from 0 to \p Most.
-  int numberUpTo(std::string_view Name, int Most);
+  /// Reads an integer from 0 to \p Max.
+  int numberUpTo(std::string_view Name, int Max);
 
   JsonReader object(std::string_view Name);
   std::vector<JsonReader> objects(std::string_view Name);
 
-  /// All members of this object, each a whole number.
+  /// Reads all members of this object as unsigned integers.
   std::vector<std::pair<std::string, std::uint64_t>> numbers();
 
-  /// An array of [text, number] pairs.
+  /// Reads an array of [text, number] pairs.
   std::vector<std::pair<std::string, std::uint32_t>>
   pairs(std::string_view Name);
 
 private:
-  const boost::json::value *member(std::string_view Name,
-                                   std::string_view Wanted);
-  std::uint64_t unsignedNumber(std::string_view Name, std::uint64_t Most);
+  const boost::json::value *findField(std::string_view Name,
+                                      std::string_view Expected);
+  std::uint64_t unsignedNumber(std::string_view Name, std::uint64_t Max);
   std::int64_t signedNumber(std::string_view Name);
-  void fail(std::string_view Name, std::string_view Wanted);
+  void reportError(std::string_view Name, std::string_view Expected);
 
   const boost::json::value *Object;
-  std::string Place;
-  absl::Status *Fault;
+  std::string Path;
+  absl::Status *FirstError;
 };
 
 } // namespace balsamlatch::wire
--- a/Source/Wire/include/balsamlatch/Wire/OwnerOrder.h
+++ b/Source/Wire/include/balsamlatch/Wire/OwnerOrder.h
@@ -1,6 +1,6 @@
 /// \file
-/// Orders of co-owners to the fleet, as the tool sends them to an entry: a
-/// JSON body and the owner's signature on it.
+/// Orders of co-owners to the fleet. The tool sends them to an entry as a JSON
+/// body with the owner's signature.
 
 #ifndef BALSAMLATCH_WIRE_OWNERORDER_H
 #define BALSAMLATCH_WIRE_OWNERORDER_H
@@ -18,22 +18,23 @@
 
 namespace balsamlatch::wire {
 
-/// Header fields that go with the body, by lower-case name.
+/// Names of the HTTP header fields for the owner's public key and signature, in
+/// hexadecimal.
 inline constexpr const char *OwnerKeyHeader = "balsamlatch-owner-key";
 inline constexpr const char *OwnerSignatureHeader =
     "balsamlatch-owner-signature";
 
-/// What an owner orders. Host and Pool are empty where the verb needs none.
+/// An order. Host and Pool are empty if the verb doesn't need them.
 struct OwnerOrder {
   /// "drain", "return", "move", "halt" or "resume".
   std::string Verb;
   HostName Host;
   PoolName Pool;
-  /// The entry that is asked; another one refuses the order.
+  /// The entry that the order is sent to; other entries refuse it.
   EntryName Entry;
   /// The owner's calendar time.
   WallTime SentAt{};
-  /// Makes the same order at the same time another one; random digits.
+  /// Random digits that distinguish equal orders sent at the same time.
   std::string Nonce;
 
   auto operator<=>(const OwnerOrder &) const = default;
@@ -41,32 +42,31 @@
 
 std::string encodeOrder(const OwnerOrder &Order);
 
-/// InvalidArgument names the member at fault.
+/// Returns InvalidArgument with the name of the missing or invalid member.
 absl::StatusOr<OwnerOrder> decodeOrder(std::string_view Body);
 
 Signature signOrder(std::string_view Body, const PrivateKey &Key);
 
-/// Checks orders that come to this entry. Not thread safe.
+/// Verifies the orders that this entry receives. Not thread safe.
 class OwnerOrderChecker {
 public:
-  /// Largest difference between the owner's and this entry's calendar time.
-  static constexpr Duration MostSkew = std::chrono::seconds(60);
+  /// Largest accepted difference between the owner's and this entry's clock.
+  static constexpr Duration MaxClockSkew = std::chrono::seconds(60);
 
-  explicit OwnerOrderChecker(EntryName Self) : Entry(std::move(Self)) {}
+  explicit OwnerOrderChecker(EntryName Entry) : LocalEntry(std::move(Entry)) {}
 
-  /// The owner whose valid signature the order has. Unauthenticated: the key
-  /// is no owner's, or signature, entry or time are wrong. AlreadyExists: a
-  /// replay.
-  absl::StatusOr<OwnerName> check(std::string_view Body,
-                                  const OwnerOrder &Order,
-                                  std::string_view KeyDigits,
-                                  std::string_view SignatureDigits,
-                                  const RuleSet &Rules, WallTime Now);
+  /// Returns the owner who signed the order. Unauthenticated: the key isn't
+  /// that of a co-owner, or the signature, entry or time is wrong.
+  /// AlreadyExists: the order is a replay.
+  absl::StatusOr<OwnerName>
+  check(std::string_view Body, const OwnerOrder &Order, std::string_view KeyHex,
+        std::string_view SignatureHex, const RuleSet &Rules, WallTime Now);
 
 private:
-  EntryName Entry;
-  // Invariant: orders with a valid signature whose time is within the skew.
-  std::map<std::string, WallTime> Seen;
+  EntryName LocalEntry;
+  // Signature and time of each accepted order whose time is within
+  // MaxClockSkew. Older ones are refused by their time.
+  std::map<std::string, WallTime> AcceptedOrders;
 };
 
 } // namespace balsamlatch::wire
--- a/Source/Wire/include/balsamlatch/Wire/PeerCodec.h
+++ b/Source/Wire/include/balsamlatch/Wire/PeerCodec.h
@@ -1,6 +1,6 @@
 /// \file
-/// Text form of what entries send each other: one JSON array of messages in
-/// one HTTP body.
+/// Encoding of the messages between entries: a JSON array of messages per HTTP
+/// request body.
 
 #ifndef BALSAMLATCH_WIRE_PEERCODEC_H
 #define BALSAMLATCH_WIRE_PEERCODEC_H
@@ -16,16 +16,17 @@
 
 namespace balsamlatch::wire {
 
-/// Anything that one entry sends to another.
+/// Any message that one entry sends to another.
 using PeerMessage = std::variant<membership::Message, placement::SlotMessage>;
 
-/// Messages in one batch; a longer batch is refused.
+/// Most messages in one batch. Longer batches are refused.
 inline constexpr std::size_t MaxBatchMessages = 256;
 
 std::string encodeBatch(const std::vector<PeerMessage> &Batch);
 
-/// InvalidArgument names the message and the member at fault. Unknown members
-/// are ignored, so that a newer entry can add some.
+/// Returns InvalidArgument with the index of the message and the name of the
+/// invalid member. Unknown kinds and members are ignored for forward
+/// compatibility.
 absl::StatusOr<std::vector<PeerMessage>> decodeBatch(std::string_view Text);
 
 } // namespace balsamlatch::wire
--- a/Source/Wire/include/balsamlatch/Wire/PeerSeal.h
+++ b/Source/Wire/include/balsamlatch/Wire/PeerSeal.h
@@ -1,6 +1,7 @@
 /// \file
-/// Authentication of batches between entries: a keyed digest over sender,
-/// receiver, time, sequence and body; replays are refused.
+/// Message authentication and replay protection for the batches between
+/// entries: an HMAC over sender, receiver, incarnation, sequence, time and
+/// body.
 
 #ifndef BALSAMLATCH_WIRE_PEERSEAL_H
 #define BALSAMLATCH_WIRE_PEERSEAL_H
@@ -18,28 +19,28 @@
 
 namespace balsamlatch::wire {
 
-/// What goes with a batch's body, as HTTP header fields.
+/// Authentication data of a batch, sent in one HTTP header field.
 struct Seal {
   EntryName From;
   EntryName To;
   std::uint64_t Incarnation = 0;
   std::uint64_t Sequence = 0;
-  /// The sender's calendar time.
+  /// Time by the sender's clock.
   WallTime SentAt{};
-  /// HMAC-SHA256 in hexadecimal.
+  /// HMAC-SHA256, in hexadecimal.
   std::string Digest;
 
   auto operator<=>(const Seal &) const = default;
 };
 
-/// "from=... to=... incarnation=... sequence=... sent=... digest=..."
-std::string formatSeal(const Seal &Value);
+/// Returns "from=... to=... incarnation=... sequence=... sent=... digest=..."
+std::string formatSeal(const Seal &Header);
 absl::StatusOr<Seal> parseSeal(std::string_view Text);
 
-/// Shared secret of the entries, at least 32 bytes.
+/// Minimum length of the secret that all entries share.
 inline constexpr std::size_t LeastSecretBytes = 32;
 
-/// Seals what this entry sends. Not thread safe.
+/// Authenticates the batches that this entry sends. Not thread safe.
 class Sealer {
 public:
   Sealer(EntryName Self, std::uint64_t Incarnation, std::string Secret);
@@ -53,32 +54,33 @@
   std::uint64_t NextSequence = 1;
 };
 
-/// Checks what this entry receives. Not thread safe.
+/// Verifies the batches that this entry receives. Not thread safe.
 class SealChecker {
 public:
-  /// Largest difference between the sender's and this entry's calendar time.
-  static constexpr Duration MostSkew = std::chrono::seconds(30);
+  /// Largest accepted difference between the sender's and this entry's clock.
+  static constexpr Duration MaxClockSkew = std::chrono::seconds(30);
 
   SealChecker(EntryName Self, std::string Secret);
 
   /// Unauthenticated: wrong receiver, digest or time. AlreadyExists: a replay,
-  /// or older than the window of sequences.
-  absl::Status check(const Seal &Value, std::string_view Body, WallTime Now);
+  /// a sequence older than the replay window, or an older incarnation.
+  absl::Status check(const Seal &Header, std::string_view Body, WallTime Now);
 
 private:
-  struct Window {
+  struct ReplayWindow {
     std::uint64_t Incarnation = 0;
-    std::uint64_t Highest = 0;
-    /// Bit i: sequence Highest - i was seen.
-    std::uint64_t Seen = 0;
+    std::uint64_t HighestSequence = 0;
+    /// Bit i is set if sequence HighestSequence - i was accepted.
+    std::uint64_t ReceivedBits = 0;
   };
 
-  absl::Status admit(const Seal &Value);
+  absl::Status checkReplay(const Seal &Header);
 
   EntryName Self;
   std::string Secret;
-  // Invariant: only senders with a valid digest have a window.
-  std::map<EntryName, Window> Windows;
+  // Invariant: only senders of a batch with a valid digest have a window, so
+  // that forged batches can't fill the map.
+  std::map<EntryName, ReplayWindow> ReplayWindows;
 };
 
 } // namespace balsamlatch::wire
--- a/Tests/Wire/PeerCodecTest.cpp
+++ b/Tests/Wire/PeerCodecTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Tests of the JSON between entries: round trips, faults with their place and
-/// mutated input.
+/// Tests of the JSON messages between entries: round trips, the location of
+/// errors, and mutated input, which must not crash the decoder.
 
 #define BOOST_TEST_MODULE Wire
 #include <boost/test/unit_test.hpp>
@@ -25,11 +25,11 @@
           MemberState::Suspect};
 }
 
-std::vector<PeerMessage> oneOfEach() {
-  const Versions InForce = {{"rules/head", 9}, {"ledger/eu", 44}};
+std::vector<PeerMessage> oneMessageOfEachKind() {
+  const Versions VersionMap = {{"rules/head", 9}, {"ledger/eu", 44}};
   return {
-      Message(Probe{1, member("a"), InForce, {member("b"), member("c")}}),
-      Message(Ack{2, member("b"), InForce, {}}),
+      Message(Probe{1, member("a"), VersionMap, {member("b"), member("c")}}),
+      Message(Ack{2, member("b"), VersionMap, {}}),
       Message(ProbeRequest{3, member("a"), EntryName("c")}),
       Message(DocumentPush{{"rules/head", 9, "text \"quoted\"\n"}}),
       Message(DocumentPull{"rules/head", 8}),
@@ -53,29 +53,29 @@
 } // namespace
 
 BOOST_AUTO_TEST_CASE(EachKindRoundTrips) {
-  const std::vector<PeerMessage> Batch = oneOfEach();
-  const auto Read = decodeBatch(encodeBatch(Batch));
-  BOOST_REQUIRE_MESSAGE(Read.ok(), Read.status().ToString());
-  BOOST_TEST((*Read == Batch));
+  const std::vector<PeerMessage> Batch = oneMessageOfEachKind();
+  const auto Decoded = decodeBatch(encodeBatch(Batch));
+  BOOST_REQUIRE_MESSAGE(Decoded.ok(), Decoded.status().ToString());
+  BOOST_TEST((*Decoded == Batch));
 }
 
 BOOST_AUTO_TEST_CASE(UnknownKindsAndMembersAreIgnored) {
-  const auto Read = decodeBatch(
+  const auto Decoded = decodeBatch(
       R"([{"kind":"later"},{"kind":"ledger-confirm","version":3,"extra":1}])");
-  BOOST_REQUIRE(Read.ok());
-  BOOST_REQUIRE(Read->size() == 1u);
-  BOOST_TEST((Read->front() == PeerMessage(Message(LedgerConfirm{3}))));
+  BOOST_REQUIRE(Decoded.ok());
+  BOOST_REQUIRE(Decoded->size() == 1u);
+  BOOST_TEST((Decoded->front() == PeerMessage(Message(LedgerConfirm{3}))));
 }
 
-BOOST_AUTO_TEST_CASE(FaultsNameMessageAndMember) {
-  const auto Read = decodeBatch(
+BOOST_AUTO_TEST_CASE(ErrorsNameMessageAndMember) {
+  const auto Decoded = decodeBatch(
       R"([{"kind":"ledger-confirm","version":1},{"kind":"pull","key":"k","after":-1}])");
-  BOOST_TEST(absl::IsInvalidArgument(Read.status()));
-  BOOST_TEST(Read.status().message() ==
+  BOOST_TEST(absl::IsInvalidArgument(Decoded.status()));
+  BOOST_TEST(Decoded.status().message() ==
              "message 1: 'after' must be a whole number in range");
 }
 
-BOOST_AUTO_TEST_CASE(WrongShapesAreRefused) {
+BOOST_AUTO_TEST_CASE(MalformedBatchesAreRefused) {
   for (const char *Text : {"", "{}", "[1]", "[{}]", "[{\"kind\":7}]",
                            R"([{"kind":"slot-ask","pool":"p"}])",
                            R"([{"kind":"pull","key":"k","after":1.5}])"}) {
@@ -83,33 +83,33 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LongBatchesAreRefused) {
+BOOST_AUTO_TEST_CASE(OversizedBatchesAreRefused) {
   const std::vector<PeerMessage> Batch(MaxBatchMessages + 1,
                                        Message(LedgerConfirm{1}));
   BOOST_TEST(!decodeBatch(encodeBatch(Batch)).ok());
 }
 
-BOOST_AUTO_TEST_CASE(MutatedBatchesNeverCrashAndKeepTheirMeaningOrFail) {
-  constexpr int Rounds = 20'000;
+BOOST_AUTO_TEST_CASE(MutatedBatchesAreRefusedOrRoundTrip) {
+  constexpr int RoundCount = 20'000;
   std::mt19937_64 Random(20261);
-  const std::string Good = encodeBatch(oneOfEach());
-  int Accepted = 0;
-  for (int I = 0; I < Rounds; ++I) {
-    std::string Text = Good;
-    const std::size_t Changes = 1 + Random() % 4;
-    for (std::size_t J = 0; J < Changes; ++J) {
+  const std::string ValidText = encodeBatch(oneMessageOfEachKind());
+  int AcceptedCount = 0;
+  for (int I = 0; I < RoundCount; ++I) {
+    std::string Text = ValidText;
+    const std::size_t ChangeCount = 1 + Random() % 4;
+    for (std::size_t J = 0; J < ChangeCount; ++J) {
       Text[Random() % Text.size()] = static_cast<char>(Random());
     }
     Text.resize(Random() % 8 == 0 ? Random() % Text.size() : Text.size());
-    const auto Read = decodeBatch(Text);
-    if (!Read.ok()) {
+    const auto Decoded = decodeBatch(Text);
+    if (!Decoded.ok()) {
       continue;
     }
-    ++Accepted;
-    const auto Again = decodeBatch(encodeBatch(*Read));
-    BOOST_REQUIRE(Again.ok());
-    BOOST_TEST((*Again == *Read));
+    ++AcceptedCount;
+    const auto DecodedAgain = decodeBatch(encodeBatch(*Decoded));
+    BOOST_REQUIRE(DecodedAgain.ok());
+    BOOST_TEST((*DecodedAgain == *Decoded));
   }
-  BOOST_TEST(Accepted > 0);
-  BOOST_TEST(Accepted < Rounds);
+  BOOST_TEST(AcceptedCount > 0);
+  BOOST_TEST(AcceptedCount < RoundCount);
 }
