--- a/Source/Wire/include/balsamlatch/Wire/OwnerOrder.h
+++ b/Source/Wire/include/balsamlatch/Wire/OwnerOrder.h
@@ -18,8 +18,8 @@
 
 namespace balsamlatch::wire {
 
-/// Names of the HTTP header fields for the owner's public key and signature, in
-/// hexadecimal.
+/// Names, in lower case, of the HTTP header fields with the owner's public key
+/// and signature, each in hexadecimal.
 inline constexpr const char *OwnerKeyHeader = "balsamlatch-owner-key";
 inline constexpr const char *OwnerSignatureHeader =
     "balsamlatch-owner-signature";
