--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -177,33 +177,34 @@
 
 void Holder::loadJournal() {
   State = Loading;
-  Book = std::make_unique<jobs::JobBook>();
-  JobJournal.load(*Book, [this, Term = TermNumber](const absl::Status &Status) {
-    if (Term != TermNumber || State != Loading) {
-      return;
-    }
-    if (!Status.ok()) {
-      Log.write(LogLevel::Warning, "journal-unread",
-                {{"why", std::string(Status.message())}});
-      Loop.after(LoadRetryDelay, [this, Term] {
-        if (Term == TermNumber && State == Loading) {
-          loadJournal();
-        }
-      });
-      return;
-    }
-    beginTerm();
-  });
+  Table = std::make_unique<jobs::JobTable>();
+  JobJournal.load(*Table,
+                  [this, Term = TermNumber](const absl::Status &Status) {
+                    if (Term != TermNumber || State != Loading) {
+                      return;
+                    }
+                    if (!Status.ok()) {
+                      Log.write(LogLevel::Warning, "journal-unread",
+                                {{"why", std::string(Status.message())}});
+                      Loop.after(LoadRetryDelay, [this, Term] {
+                        if (Term == TermNumber && State == Loading) {
+                          loadJournal();
+                        }
+                      });
+                      return;
+                    }
+                    beginTerm();
+                  });
 }
 
 void Holder::beginTerm() {
   State = Leading;
-  JobDispatcher.begin(token(), *Book);
+  JobDispatcher.begin(token(), *Table);
   JobDispatcher.configure(Config);
   JobDispatcher.setWorkers(WorkerRecords);
   Log.write(LogLevel::Info, "term-begun",
             {{"token", Token},
-             {"jobs", Book->jobs().size()},
+             {"jobs", Table->jobs().size()},
              {"records", JobJournal.nextNumber() - JobJournal.oldestNumber()},
              {"workers", WorkerRecords.size()}});
   if (OnTerm) {
--- a/Source/Control/HolderRequests.cpp
+++ b/Source/Control/HolderRequests.cpp
@@ -25,7 +25,7 @@
 }
 
 void Holder::handle(const SubmitJob &Request, const ReplyCallback &Callback) {
-  if (Book->find(Request.Job) != nullptr) {
+  if (Table->find(Request.Job) != nullptr) {
     Callback({JobReply::Done});
     return;
   }
@@ -64,7 +64,7 @@
 }
 
 void Holder::handle(const CancelJob &Request, const ReplyCallback &Callback) {
-  const jobs::Job *ExistingJob = Book->find(Request.Job);
+  const jobs::Job *ExistingJob = Table->find(Request.Job);
   if (ExistingJob == nullptr && !PendingSubmits.contains(Request.Job)) {
     Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
     return;
@@ -81,7 +81,7 @@
 }
 
 void Holder::handle(const AskJob &Request, const ReplyCallback &Callback) {
-  const jobs::Job *ExistingJob = Book->find(Request.Job);
+  const jobs::Job *ExistingJob = Table->find(Request.Job);
   if (ExistingJob != nullptr) {
     JobReply Reply{JobReply::Done};
     Reply.State = ExistingJob->Record.State;
@@ -98,13 +98,13 @@
     return;
   }
   JobReply Reply{JobReply::Done};
-  Reply.Pending = Book->pendingCount(Request.Queue);
+  Reply.Pending = Table->pendingCount(Request.Queue);
   Callback(Reply);
 }
 
 void Holder::completePendingRequests() {
   for (auto It = PendingSubmits.begin(); It != PendingSubmits.end();) {
-    if (Book->find(It->first) == nullptr) {
+    if (Table->find(It->first) == nullptr) {
       ++It;
       continue;
     }
@@ -113,7 +113,7 @@
     Callback({JobReply::Done});
   }
   for (auto It = PendingCancels.begin(); It != PendingCancels.end();) {
-    const jobs::Job *ExistingJob = Book->find(It->first);
+    const jobs::Job *ExistingJob = Table->find(It->first);
     if (ExistingJob != nullptr && ExistingJob->open()) {
       ++It;
       continue;
--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -151,7 +151,7 @@
     return;
   }
   for (const jobs::JobEvent &Event : Events) {
-    Book->apply(Event, JobJournal.nextNumber() - 1);
+    Table->apply(Event, JobJournal.nextNumber() - 1);
   }
   LastStoreContact = std::max(LastStoreContact, JobJournal.lastSentAt());
   completePendingRequests();
@@ -162,7 +162,7 @@
 }
 
 void Holder::compactJournal() {
-  JobJournal.truncateBefore(Book->oldestNeeded(JobJournal.nextNumber()));
+  JobJournal.truncateBefore(Table->oldestNeeded(JobJournal.nextNumber()));
   if (JobJournal.nextNumber() - JobJournal.oldestNumber() <
           CompactionThreshold ||
       JobJournal.appendInFlight()) {
@@ -174,7 +174,7 @@
       JobJournal.nextNumber() - CompactionThreshold / 2;
   std::size_t Snapshots = 0;
   std::size_t Summaries = 0;
-  for (const auto &[Id, Job] : Book->jobs()) {
+  for (const auto &[Id, Job] : Table->jobs()) {
     if (Job.FirstRecord >= RewriteBefore) {
       continue;
     }
--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -195,8 +195,9 @@
     listHosts();
   }
   if (LocalController.holdsLease() && Config != nullptr) {
-    for (const dispatch::HostDecision &Decision : Keeper.decide(
-             LocalController.dispatcher(), LocalController.book(), *Config)) {
+    for (const dispatch::HostDecision &Decision :
+         Keeper.decide(LocalController.dispatcher(), LocalController.jobTable(),
+                       *Config)) {
       if (const auto *Order = std::get_if<dispatch::HostOrder>(&Decision)) {
         PendingOrders.push_back(*Order);
       } else {
--- a/Source/Control/Journal.cpp
+++ b/Source/Control/Journal.cpp
@@ -42,19 +42,19 @@
   AppendInFlight = false;
 }
 
-void Journal::load(jobs::JobBook &Book,
+void Journal::load(jobs::JobTable &Table,
                    std::function<void(absl::Status)> Callback) {
   stop();
   NextNumber = 1;
   OldestNumber = 0;
   OldestNeeded = 1;
-  loadPage(Book, "", std::move(Callback));
+  loadPage(Table, "", std::move(Callback));
 }
 
-void Journal::loadPage(jobs::JobBook &Book, const std::string &AfterKey,
+void Journal::loadPage(jobs::JobTable &Table, const std::string &AfterKey,
                        std::function<void(absl::Status)> Callback) {
   Store.list(std::string(KeyPrefix), AfterKey,
-             [this, &Book, Callback = std::move(Callback),
+             [this, &Table, Callback = std::move(Callback),
               CallGeneration = *Generation,
               CurrentGeneration = Generation](const PageReply &Reply) {
                if (CallGeneration != *CurrentGeneration) {
@@ -73,13 +73,13 @@
                    return;
                  }
                  for (const jobs::JobEvent &Event : *Events) {
-                   Book.apply(Event, Number);
+                   Table.apply(Event, Number);
                  }
                  OldestNumber = OldestNumber == 0 ? Number : OldestNumber;
                  NextNumber = Number + 1;
                }
                if (Reply.HasMore && !Reply.Items.empty()) {
-                 loadPage(Book, Reply.Items.back().Key, Callback);
+                 loadPage(Table, Reply.Items.back().Key, Callback);
                  return;
                }
                OldestNumber = OldestNumber == 0 ? NextNumber : OldestNumber;
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -79,7 +79,7 @@
   Condition leaderCondition() const { return {Settings.LeaderKey, Token}; }
   const dispatch::Dispatcher &dispatcher() const { return JobDispatcher; }
   dispatch::Dispatcher &dispatcher() { return JobDispatcher; }
-  const jobs::JobBook &book() const { return *Book; }
+  const jobs::JobTable &jobTable() const { return *Table; }
 
   /// Called when the set of registered entries may have changed.
   std::function<void()> OnEntries;
@@ -126,7 +126,7 @@
   EntryRegistry Registry;
   Journal JobJournal;
   dispatch::Dispatcher JobDispatcher;
-  std::unique_ptr<jobs::JobBook> Book = std::make_unique<jobs::JobBook>();
+  std::unique_ptr<jobs::JobTable> Table = std::make_unique<jobs::JobTable>();
   std::shared_ptr<const dispatch::Deployment> Config;
   std::map<std::string, dispatch::WorkerRecord> WorkerRecords;
 
--- a/Source/Control/include/balsamlatch/Control/Journal.h
+++ b/Source/Control/include/balsamlatch/Control/Journal.h
@@ -10,7 +10,7 @@
 #include "balsamlatch/Base/EventLoop.h"
 #include "balsamlatch/Base/Log.h"
 #include "balsamlatch/Control/RecordStore.h"
-#include "balsamlatch/Jobs/JobBook.h"
+#include "balsamlatch/Jobs/JobTable.h"
 
 #include <memory>
 
@@ -29,8 +29,8 @@
           RecordStore &Backend, LogSink &Sink);
   ~Journal();
 
-  /// Applies all records to \p Book, then calls \p Callback.
-  void load(jobs::JobBook &Book, std::function<void(absl::Status)> Callback);
+  /// Applies all records to \p Table, then calls \p Callback.
+  void load(jobs::JobTable &Table, std::function<void(absl::Status)> Callback);
 
   /// Appends one record if \p LeaderCondition holds. Only one append may be in
   /// flight. Retries until the outcome is known or stop() is called.
@@ -57,7 +57,7 @@
 private:
   struct PendingAppend;
 
-  void loadPage(jobs::JobBook &Book, const std::string &AfterKey,
+  void loadPage(jobs::JobTable &Table, const std::string &AfterKey,
                 std::function<void(absl::Status)> Callback);
   void sendAppend(const std::shared_ptr<PendingAppend> &Pending);
   void handleReply(const std::shared_ptr<PendingAppend> &Pending,
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -60,10 +60,10 @@
                        LogSink &Sink)
     : Time(TimeSource), Settings(Options), Log(Sink) {}
 
-void Dispatcher::begin(FencingToken NewToken, const jobs::JobBook &Jobs) {
+void Dispatcher::begin(FencingToken NewToken, const jobs::JobTable &Jobs) {
   end();
   Token = NewToken;
-  Book = &Jobs;
+  Table = &Jobs;
   TermStart = Time.now();
   for (const auto &[Id, Job] : Jobs.jobs()) {
     adoptPlacedRuns(Job);
@@ -76,7 +76,7 @@
 }
 
 void Dispatcher::end() {
-  Book = nullptr;
+  Table = nullptr;
   Fenced = false;
   Workers.clear();
   ProposedTasks.clear();
@@ -98,7 +98,7 @@
 void Dispatcher::configure(std::shared_ptr<const Deployment> NewConfig) {
   Config = std::move(NewConfig);
   PlanNeeded = true;
-  if (Book == nullptr) {
+  if (Table == nullptr) {
     return;
   }
   // An earlier lease holder may have recorded the last end of a job but not
@@ -161,7 +161,7 @@
 
 void Dispatcher::setWorkers(
     const std::map<std::string, WorkerRecord> &Records) {
-  if (Book == nullptr) {
+  if (Table == nullptr) {
     return;
   }
   for (auto &[Id, Worker] : Workers) {
@@ -212,7 +212,7 @@
 }
 
 void Dispatcher::recorded(const std::vector<JobEvent> &RecordedEvents) {
-  if (Book == nullptr) {
+  if (Table == nullptr) {
     return;
   }
   BatchInFlight = false;
@@ -237,7 +237,7 @@
 
 void Dispatcher::applyRecorded(const jobs::JobAccepted &Event) {
   OpenJobs.insert(Event.Job);
-  if (const jobs::Job *Job = Book->find(Event.Job)) {
+  if (const jobs::Job *Job = Table->find(Event.Job)) {
     updateMeanWork(*Job);
   }
 }
@@ -251,7 +251,7 @@
     return;
   }
   WorkerState &Worker = Workers.at(Event.Worker.Id);
-  const jobs::Job *Job = Book->find(Event.Task.Job);
+  const jobs::Job *Job = Table->find(Event.Task.Job);
   const bool IsStillWanted =
       Job != nullptr && Job->open() && !Run->StopRequested;
   // The worker may have restarted while the event was being written.
@@ -288,7 +288,7 @@
 }
 
 void Dispatcher::closeIfDone(const JobId &Id) {
-  const jobs::Job *Job = Book->find(Id);
+  const jobs::Job *Job = Table->find(Id);
   if (Job == nullptr || !Job->open() || ClosingJobs.contains(Id)) {
     return;
   }
@@ -345,7 +345,7 @@
 }
 
 void Dispatcher::stopGangPeers(const TaskRef &EndedMember, std::uint32_t Run) {
-  const jobs::Job *Job = Book->find(EndedMember.Job);
+  const jobs::Job *Job = Table->find(EndedMember.Job);
   const TaskRecord *EndedRecord =
       Job == nullptr ? nullptr : Job->find(EndedMember);
   if (EndedRecord == nullptr || !Job->spec().Steps[EndedMember.Step].Gang) {
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 void Dispatcher::tick(bool MayPlace, bool MayRenew) {
-  if (Book == nullptr || Fenced) {
+  if (Table == nullptr || Fenced) {
     return;
   }
   const Instant Now = Time.now();
@@ -54,7 +54,7 @@
 
 void Dispatcher::forgetClosedJobs() {
   const WallTime RetainedSince = Time.wallNow() - Settings.StatusRetention;
-  for (const auto &[Id, Job] : Book->jobs()) {
+  for (const auto &[Id, Job] : Table->jobs()) {
     if (!Job.open() && Job.PlacedTasks == 0 &&
         Job.Record.ClosedAt < RetainedSince) {
       Events.emplace_back(jobs::JobForgotten{Id});
@@ -154,7 +154,7 @@
 
 void Dispatcher::orderStart(WorkerState &Worker, const TaskRef &Task,
                             RunState &Run) {
-  const jobs::Job *Job = Book->find(Task.Job);
+  const jobs::Job *Job = Table->find(Task.Job);
   const Instant Now = Time.now();
   StartOrder Order;
   Order.To = Worker.Record.Address;
@@ -228,7 +228,7 @@
 
 void Dispatcher::handleHostGone(const std::string &WorkerId) {
   const auto WorkerIt = Workers.find(WorkerId);
-  if (Book == nullptr || WorkerIt == Workers.end()) {
+  if (Table == nullptr || WorkerIt == Workers.end()) {
     return;
   }
   endAllAsLost(WorkerIt->second,
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -139,7 +139,7 @@
 std::vector<Dispatcher::WaitingStep> Dispatcher::findWaitingSteps() const {
   std::vector<WaitingStep> Candidates;
   for (const JobId &Id : OpenJobs) {
-    const Job *ParentJob = Book->find(Id);
+    const Job *ParentJob = Table->find(Id);
     if (ParentJob == nullptr || !ParentJob->open() ||
         ClosingJobs.contains(Id)) {
       continue;
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -36,7 +36,7 @@
 void Dispatcher::holdAnswered(const std::string &WorkerId, Instant SentAt,
                               OrderOutcome Outcome, const HoldReport &Report) {
   const auto WorkerIt = Workers.find(WorkerId);
-  if (Book == nullptr || WorkerIt == Workers.end()) {
+  if (Table == nullptr || WorkerIt == Workers.end()) {
     return;
   }
   WorkerState &Worker = WorkerIt->second;
@@ -101,7 +101,7 @@
 }
 
 void Dispatcher::processLateEnd(const EndedTask &EndedRun) {
-  const jobs::Job *Job = Book->find(EndedRun.Task.Job);
+  const jobs::Job *Job = Table->find(EndedRun.Task.Job);
   const jobs::TaskRecord *Task =
       Job == nullptr ? nullptr : Job->find(EndedRun.Task);
   if (EndedRun.How != RunEnd::Done || Task == nullptr ||
@@ -225,7 +225,7 @@
 }
 
 void Dispatcher::startAnswered(const StartOrder &Order, OrderOutcome Outcome) {
-  RunState *Run = Book == nullptr
+  RunState *Run = Table == nullptr
                       ? nullptr
                       : findRun(Order.To.WorkerId, Order.Task, Order.Run);
   if (Run == nullptr || Run->Phase != RunPhase::Ordered) {
@@ -301,7 +301,7 @@
 }
 
 void Dispatcher::paceAnswered(const PaceOrder &Order, OrderOutcome Outcome) {
-  RunState *Run = Book == nullptr
+  RunState *Run = Table == nullptr
                       ? nullptr
                       : findRun(Order.To.WorkerId, Order.Task, Order.Run);
   Fenced = Fenced || Outcome == OrderOutcome::Fenced;
@@ -321,12 +321,12 @@
 
 void Dispatcher::queryAnswered(const PermitQuery &Query, Instant AskedAt,
                                const std::optional<PermitReply> &Reply) {
-  if (Book == nullptr) {
+  if (Table == nullptr) {
     return;
   }
   QueriesInFlight.erase(Query.Step);
   PlanNeeded = true;
-  const jobs::Job *Job = Book->find(Query.Step.Job);
+  const jobs::Job *Job = Table->find(Query.Step.Job);
   if (!Reply) {
     NextQueryAt = Time.now() + QueryRetryDelay;
   } else if (Job != nullptr && Job->open()) {
@@ -341,7 +341,7 @@
 }
 
 void Dispatcher::stopAnswered(const StopOrder &Order, OrderOutcome Outcome) {
-  RunState *Run = Book == nullptr
+  RunState *Run = Table == nullptr
                       ? nullptr
                       : findRun(Order.To.WorkerId, Order.Task, Order.Run);
   if (Run == nullptr) {
--- a/Source/Dispatch/HostKeeper.cpp
+++ b/Source/Dispatch/HostKeeper.cpp
@@ -73,7 +73,7 @@
 
 std::optional<TaskRef> findTaskToMove(const WorkerState &Worker,
                                       const Dispatcher &JobDispatcher,
-                                      const jobs::JobBook &Jobs) {
+                                      const jobs::JobTable &Jobs) {
   for (const auto &[Task, Run] : Worker.Runs) {
     const jobs::Job *Job = Jobs.find(Task.Job);
     if (Job == nullptr || !Job->open() || !Run.Lasting || !isAtWork(Run)) {
@@ -89,7 +89,7 @@
 }
 
 bool canInterrupt(const WorkerState &Worker, const Dispatcher &JobDispatcher,
-                  const jobs::JobBook &Jobs) {
+                  const jobs::JobTable &Jobs) {
   // Tasks at work on this worker, by step. Tasks that aren't known to be at
   // work already count as unavailable.
   std::map<StepRef, unsigned> InterruptedByStep;
@@ -192,7 +192,7 @@
 }
 
 std::vector<HostDecision> HostKeeper::decide(Dispatcher &JobDispatcher,
-                                             const jobs::JobBook &Jobs,
+                                             const jobs::JobTable &Jobs,
                                              const Deployment &Config) {
   std::vector<HostDecision> Decisions;
   if (Hosts.empty() || !EarlierOrdersKnown) {
@@ -243,7 +243,7 @@
 }
 
 void HostKeeper::decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
-                            const jobs::JobBook &Jobs,
+                            const jobs::JobTable &Jobs,
                             std::vector<HostDecision> &Decisions) {
   const Instant Now = Time.now();
   std::vector<const HostRecord *> AvailableHosts;
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -49,7 +49,7 @@
   Demand.BatchResources.Gpus += Spec.Need.Gpus * OpenTasks * Weight;
 }
 
-std::map<PoolName, PoolDemand> findDemandByPool(const jobs::JobBook &Jobs,
+std::map<PoolName, PoolDemand> findDemandByPool(const jobs::JobTable &Jobs,
                                                 const Deployment &Config,
                                                 WallTime Now) {
   std::map<PoolName, PoolDemand> DemandByPool;
@@ -114,7 +114,7 @@
 }
 
 void HostKeeper::decideMoves(Dispatcher &JobDispatcher,
-                             const jobs::JobBook &Jobs,
+                             const jobs::JobTable &Jobs,
                              const Deployment &Config,
                              std::vector<HostDecision> &Decisions) {
   const Instant Now = Time.now();
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -16,7 +16,7 @@
 #include "balsamlatch/Base/Log.h"
 #include "balsamlatch/Dispatch/Permits.h"
 #include "balsamlatch/Dispatch/WorkerState.h"
-#include "balsamlatch/Jobs/JobBook.h"
+#include "balsamlatch/Jobs/JobTable.h"
 
 #include <memory>
 #include <set>
@@ -60,7 +60,7 @@
 
   /// Begins a term with the jobs as recorded in the journal; \p Jobs must
   /// outlive the term. Every placed task in it may still be running.
-  void begin(FencingToken Token, const jobs::JobBook &Jobs);
+  void begin(FencingToken Token, const jobs::JobTable &Jobs);
   /// Ends the term and drops all pending events and orders.
   void end();
 
@@ -68,7 +68,7 @@
   /// Sets the workers that are registered now.
   void setWorkers(const std::map<std::string, WorkerRecord> &Records);
 
-  /// The journal holds the events, and they are applied to the job book.
+  /// The journal holds the events, and they are applied to the job table.
   void recorded(const std::vector<jobs::JobEvent> &RecordedEvents);
 
   /// Take the outcome of an order, and for a hold the report of the worker.
@@ -217,7 +217,7 @@
   const Clock &Time;
   const DispatchOptions Settings;
   LogSink &Log;
-  const jobs::JobBook *Book = nullptr;
+  const jobs::JobTable *Table = nullptr;
   std::shared_ptr<const Deployment> Config;
   FencingToken Token;
   Instant TermStart{};
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
@@ -74,7 +74,7 @@
 
   /// Returns the orders and completed waves that are due now.
   std::vector<HostDecision> decide(Dispatcher &JobDispatcher,
-                                   const jobs::JobBook &Jobs,
+                                   const jobs::JobTable &Jobs,
                                    const Deployment &Config);
 
   /// The platform accepted the order, or never replied. It accepts an order
@@ -114,9 +114,9 @@
   /// term began.
   bool isSettling(const HostName &Name) const;
   void decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
-                  const jobs::JobBook &Jobs,
+                  const jobs::JobTable &Jobs,
                   std::vector<HostDecision> &Decisions);
-  void decideMoves(Dispatcher &JobDispatcher, const jobs::JobBook &Jobs,
+  void decideMoves(Dispatcher &JobDispatcher, const jobs::JobTable &Jobs,
                    const Deployment &Config,
                    std::vector<HostDecision> &Decisions);
   /// The hosts that count as capacity of a pool.
@@ -153,13 +153,13 @@
 /// Whether all lasting tasks on the worker may be interrupted now without
 /// making more tasks of any step unavailable than its caller allows.
 bool canInterrupt(const WorkerState &Worker, const Dispatcher &JobDispatcher,
-                  const jobs::JobBook &Jobs);
+                  const jobs::JobTable &Jobs);
 
 /// Returns a lasting task on the worker that may be stopped now to be placed on
 /// another worker.
 std::optional<TaskRef> findTaskToMove(const WorkerState &Worker,
                                       const Dispatcher &JobDispatcher,
-                                      const jobs::JobBook &Jobs);
+                                      const jobs::JobTable &Jobs);
 
 } // namespace balsamlatch::dispatch
 
--- a/Source/Dispatch/include/balsamlatch/Dispatch/JobRank.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/JobRank.h
@@ -7,7 +7,7 @@
 #define BALSAMLATCH_DISPATCH_JOBRANK_H
 
 #include "balsamlatch/Dispatch/Deployment.h"
-#include "balsamlatch/Jobs/JobBook.h"
+#include "balsamlatch/Jobs/JobTable.h"
 
 namespace balsamlatch::dispatch {
 
--- a/Source/Jobs/JobBook.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Applies job events to the in-memory state of the jobs.
 
-#include "balsamlatch/Jobs/JobBook.h"
+#include "balsamlatch/Jobs/JobTable.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -167,23 +167,23 @@
   return MaxFailures;
 }
 
-void JobBook::apply(const JobEvent &Event, std::uint64_t Sequence) {
+void JobTable::apply(const JobEvent &Event, std::uint64_t Sequence) {
   std::visit([this, Sequence](
                  const auto &TypedEvent) { applyEvent(TypedEvent, Sequence); },
              Event);
 }
 
-const Job *JobBook::find(const JobId &Id) const {
+const Job *JobTable::find(const JobId &Id) const {
   const auto It = JobsById.find(Id);
   return It == JobsById.end() ? nullptr : &It->second;
 }
 
-Job *JobBook::findMutable(const JobId &Id) {
+Job *JobTable::findMutable(const JobId &Id) {
   const auto It = JobsById.find(Id);
   return It == JobsById.end() ? nullptr : &It->second;
 }
 
-TaskRecord *JobBook::findTask(Job &ParentJob, const TaskRef &Task) {
+TaskRecord *JobTable::findTask(Job &ParentJob, const TaskRef &Task) {
   auto It = ParentJob.Record.Occurrences.find(Task.Occurrence);
   if (It == ParentJob.Record.Occurrences.end()) {
     if (Task.Occurrence >= ParentJob.spec().occurrences()) {
@@ -200,18 +200,18 @@
   return &It->second[Task.Step][Task.Index];
 }
 
-void JobBook::adjustPendingCount(const Job &Candidate, int Delta) {
+void JobTable::adjustPendingCount(const Job &Candidate, int Delta) {
   if (isPending(Candidate)) {
     PendingCounts[Candidate.Record.Accepted.Queue] += Delta;
   }
 }
 
-unsigned JobBook::pendingCount(const QueueName &Queue) const {
+unsigned JobTable::pendingCount(const QueueName &Queue) const {
   const auto It = PendingCounts.find(Queue);
   return It == PendingCounts.end() ? 0 : It->second;
 }
 
-std::uint64_t JobBook::oldestNeeded(std::uint64_t NextSequence) const {
+std::uint64_t JobTable::oldestNeeded(std::uint64_t NextSequence) const {
   std::uint64_t OldestSequence = NextSequence;
   for (const auto &[Id, KnownJob] : JobsById) {
     OldestSequence = std::min(OldestSequence, KnownJob.FirstRecord);
@@ -219,7 +219,7 @@
   return OldestSequence;
 }
 
-void JobBook::applyEvent(const JobAccepted &Event, std::uint64_t Sequence) {
+void JobTable::applyEvent(const JobAccepted &Event, std::uint64_t Sequence) {
   if (JobsById.contains(Event.Job)) {
     return;
   }
@@ -230,7 +230,7 @@
   adjustPendingCount(NewJob, 1);
 }
 
-void JobBook::applyEvent(const TaskPlaced &Event, std::uint64_t /*Sequence*/) {
+void JobTable::applyEvent(const TaskPlaced &Event, std::uint64_t /*Sequence*/) {
   Job *ParentJob = findMutable(Event.Task.Job);
   TaskRecord *Task =
       ParentJob == nullptr ? nullptr : findTask(*ParentJob, Event.Task);
@@ -249,7 +249,7 @@
   Task->Worker = Event.Worker;
 }
 
-void JobBook::applyEvent(const TaskEnded &Event, std::uint64_t /*Sequence*/) {
+void JobTable::applyEvent(const TaskEnded &Event, std::uint64_t /*Sequence*/) {
   Job *ParentJob = findMutable(Event.Task.Job);
   TaskRecord *Task =
       ParentJob == nullptr ? nullptr : findTask(*ParentJob, Event.Task);
@@ -276,8 +276,8 @@
   }
 }
 
-void JobBook::applyEvent(const CheckpointSaved &Event,
-                         std::uint64_t /*Sequence*/) {
+void JobTable::applyEvent(const CheckpointSaved &Event,
+                          std::uint64_t /*Sequence*/) {
   Job *ParentJob = findMutable(Event.Task.Job);
   TaskRecord *Task =
       ParentJob == nullptr ? nullptr : findTask(*ParentJob, Event.Task);
@@ -290,7 +290,7 @@
   }
 }
 
-void JobBook::applyEvent(const JobClosed &Event, std::uint64_t /*Sequence*/) {
+void JobTable::applyEvent(const JobClosed &Event, std::uint64_t /*Sequence*/) {
   Job *ClosedJob = findMutable(Event.Job);
   if (ClosedJob == nullptr || !ClosedJob->open()) {
     return;
@@ -300,12 +300,12 @@
   ClosedJob->Record.ClosedAt = Event.At;
 }
 
-void JobBook::applyEvent(const JobForgotten &Event,
-                         std::uint64_t /*Sequence*/) {
+void JobTable::applyEvent(const JobForgotten &Event,
+                          std::uint64_t /*Sequence*/) {
   JobsById.erase(Event.Job);
 }
 
-void JobBook::applyEvent(const JobSnapshot &Event, std::uint64_t Sequence) {
+void JobTable::applyEvent(const JobSnapshot &Event, std::uint64_t Sequence) {
   if (Job *PreviousJob = findMutable(Event.Accepted.Job)) {
     adjustPendingCount(*PreviousJob, -1);
   }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -1,6 +1,6 @@
 /// \file
 /// Job events as recorded in the journal. Applying all events in order to a
-/// JobBook rebuilds the state of the jobs.
+/// JobTable rebuilds the state of the jobs.
 
 #ifndef BALSAMLATCH_JOBS_JOBEVENTS_H
 #define BALSAMLATCH_JOBS_JOBEVENTS_H
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -1,6 +1,6 @@
 /// \file
 /// The specification of a job as a caller submits it: steps of identical tasks
-/// and an optional schedule. JobBook.h holds the state of submitted jobs.
+/// and an optional schedule. JobTable.h holds the state of submitted jobs.
 
 #ifndef BALSAMLATCH_JOBS_JOBSPEC_H
 #define BALSAMLATCH_JOBS_JOBSPEC_H
--- a/Source/Jobs/include/balsamlatch/Jobs/JobBook.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -3,8 +3,8 @@
 /// over the events of the journal. The same events produce the same state on
 /// every host.
 
-#ifndef BALSAMLATCH_JOBS_JOBBOOK_H
-#define BALSAMLATCH_JOBS_JOBBOOK_H
+#ifndef BALSAMLATCH_JOBS_JOBTABLE_H
+#define BALSAMLATCH_JOBS_JOBTABLE_H
 
 #include "balsamlatch/Jobs/JobEvents.h"
 
@@ -46,7 +46,7 @@
 };
 
 /// All jobs by ID.
-class JobBook {
+class JobTable {
 public:
   /// Applies one event from the journal record \p Sequence. Events for unknown
   /// jobs and for superseded runs are ignored.
@@ -85,4 +85,4 @@
 
 } // namespace balsamlatch::jobs
 
-#endif // BALSAMLATCH_JOBS_JOBBOOK_H
+#endif // BALSAMLATCH_JOBS_JOBTABLE_H
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -88,14 +88,14 @@
   }
 
   std::size_t jobsAfterLoad() {
-    jobs::JobBook Book;
+    jobs::JobTable Table;
     bool IsLoaded = false;
-    JobJournal.load(Book, [&](const absl::Status &Status) {
+    JobJournal.load(Table, [&](const absl::Status &Status) {
       BOOST_TEST(Status.ok());
       IsLoaded = true;
     });
     runUntil([&] { return IsLoaded; });
-    return Book.jobs().size();
+    return Table.jobs().size();
   }
 };
 
@@ -197,7 +197,7 @@
               JobReply::Done));
   BOOST_TEST(
       (sendRequest(*SecondEntry, submitJob("a"))->Outcome == JobReply::Done));
-  BOOST_TEST(SecondEntry->book().jobs().size() == 1);
+  BOOST_TEST(SecondEntry->jobTable().jobs().size() == 1);
   BOOST_TEST((sendRequest(*SecondEntry, AskJob{jobs::JobId("b")})->Outcome ==
               JobReply::NoSuchJob));
   BOOST_TEST((sendRequest(*FirstEntry, submitJob("c"))->Outcome ==
@@ -247,7 +247,7 @@
   Store.IsUnavailable = false;
   BOOST_TEST(runUntil([&] { return EarlierReply.has_value(); }));
   BOOST_TEST((EarlierReply->Outcome == JobReply::Done));
-  BOOST_TEST(FirstEntry->book().find(jobs::JobId("b")) == nullptr);
+  BOOST_TEST(FirstEntry->jobTable().find(jobs::JobId("b")) == nullptr);
 }
 
 BOOST_FIXTURE_TEST_CASE(RouterReportsFailureUntilALeaderReplies,
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -209,7 +209,7 @@
   BOOST_REQUIRE((Sim.job("a").Record.State == jobs::JobState::Failed));
   jobs::JobSnapshot ReopenedJob = Sim.job("a").Record;
   ReopenedJob.State = jobs::JobState::Running;
-  Sim.Book.apply(ReopenedJob, 99);
+  Sim.Table.apply(ReopenedJob, 99);
   Sim.startNewTerm();
   Sim.run(2s);
   BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Failed));
@@ -356,14 +356,14 @@
   return Spec;
 }
 
-/// Returns a job book with a gang of three placed members.
-jobs::JobBook bookWithGang() {
-  jobs::JobBook Book;
-  Book.apply(jobs::JobAccepted{JobId("g"), {}, {}, gangJob(3, 1), {}}, 1);
+/// Returns a job table with a gang of three placed members.
+jobs::JobTable tableWithGang() {
+  jobs::JobTable Table;
+  Table.apply(jobs::JobAccepted{JobId("g"), {}, {}, gangJob(3, 1), {}}, 1);
   for (unsigned Index = 0; Index < 3; ++Index) {
-    Book.apply(jobs::TaskPlaced{{JobId("g"), 0, 0, Index}, 1, {"w", 1}}, 1);
+    Table.apply(jobs::TaskPlaced{{JobId("g"), 0, 0, Index}, 1, {"w", 1}}, 1);
   }
-  return Book;
+  return Table;
 }
 
 } // namespace
@@ -405,21 +405,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(AGangsFailedRunCountsOnce) {
-  jobs::JobBook Book = bookWithGang();
+  jobs::JobTable Table = tableWithGang();
   for (unsigned Index = 0; Index < 3; ++Index) {
-    Book.apply(
+    Table.apply(
         jobs::TaskEnded{{JobId("g"), 0, 0, Index}, 1, jobs::RunEnd::Failed, ""},
         2);
   }
-  BOOST_TEST(Book.find(JobId("g"))->worstFailures() == 1);
+  BOOST_TEST(Table.find(JobId("g"))->worstFailures() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(AGangSharesItsNewestCheckpoint) {
-  jobs::JobBook Book = bookWithGang();
-  Book.apply(jobs::CheckpointSaved{{JobId("g"), 0, 0, 2}, 1, "c"}, 2);
+  jobs::JobTable Table = tableWithGang();
+  Table.apply(jobs::CheckpointSaved{{JobId("g"), 0, 0, 2}, 1, "c"}, 2);
   for (unsigned Index = 0; Index < 3; ++Index) {
     BOOST_TEST(
-        Book.find(JobId("g"))->find({JobId("g"), 0, 0, Index})->Checkpoint ==
+        Table.find(JobId("g"))->find({JobId("g"), 0, 0, Index})->Checkpoint ==
         "c");
   }
 }
--- a/Tests/Dispatch/HistoryTest.cpp
+++ b/Tests/Dispatch/HistoryTest.cpp
@@ -80,7 +80,7 @@
   for (const std::string &Violation : Sim.violations()) {
     BOOST_ERROR("seed " << Seed << ": " << Violation);
   }
-  for (const auto &[Id, Job] : Sim.Book.jobs()) {
+  for (const auto &[Id, Job] : Sim.Table.jobs()) {
     BOOST_TEST((!Job.open() || Job.spec().lasting()),
                "seed " << Seed << ": " << Id.Text << " never ends");
   }
--- a/Tests/Dispatch/HostKeeperTest.cpp
+++ b/Tests/Dispatch/HostKeeperTest.cpp
@@ -63,7 +63,7 @@
   std::vector<HostOrder> decide() {
     std::vector<HostOrder> Orders;
     for (const HostDecision &Decision :
-         Keeper.decide(*Sim.JobDispatcher, Sim.Book, *Sim.Config)) {
+         Keeper.decide(*Sim.JobDispatcher, Sim.Table, *Sim.Config)) {
       if (const auto *Order = std::get_if<HostOrder>(&Decision)) {
         Orders.push_back(*Order);
       } else {
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -208,7 +208,7 @@
   RecordInFlight = false;
   RequestedEvents.clear();
   JobDispatcher = std::make_unique<Dispatcher>(Time, DispatchOptions(), Log);
-  JobDispatcher->begin(FencingToken(Term), Book);
+  JobDispatcher->begin(FencingToken(Term), Table);
   JobDispatcher->configure(Config);
 }
 
@@ -290,8 +290,8 @@
     RecordInFlight = false;
     ++Sequence;
     for (const jobs::JobEvent &Event : Events) {
-      Book.apply(Event, Sequence);
-      const jobs::Job *Job = Book.find(jobs::jobOf(Event));
+      Table.apply(Event, Sequence);
+      const jobs::Job *Job = Table.find(jobs::jobOf(Event));
       if (std::holds_alternative<jobs::JobClosed>(Event) && Job != nullptr) {
         auto &ClosedAt = Job->Record.State == jobs::JobState::Completed
                              ? Observed.CompletedAt
@@ -410,7 +410,7 @@
 }
 
 const jobs::Job &Simulation::job(const std::string &Id) const {
-  return *Book.find(JobId(Id));
+  return *Table.find(JobId(Id));
 }
 
 unsigned Simulation::countStarts(const std::string &Id) const {
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -121,7 +121,7 @@
   NullLog Log;
   History Observed;
   std::vector<FakeWorker> Workers;
-  jobs::JobBook Book;
+  jobs::JobTable Table;
   std::unique_ptr<Dispatcher> JobDispatcher;
   std::shared_ptr<Deployment> Config = std::make_shared<Deployment>();
   /// Time to write events to the journal.
