--- a/Source/Control/PolicyRelay.cpp
+++ b/Source/Control/PolicyRelay.cpp
@@ -21,7 +21,7 @@
 
 std::string encodeQuery(const dispatch::PermitQuery &Query) {
   json::array Workers;
-  for (const dispatch::WorkerLife &Worker : Query.Workers) {
+  for (const dispatch::WorkerInstance &Worker : Query.Workers) {
     Workers.push_back(json::array{Worker.Id, Worker.Born});
   }
   return json::serialize(json::object{{"job", Query.Step.Job.Text},
--- a/Source/Control/include/balsamlatch/Control/PrefixMirror.h
+++ b/Source/Control/include/balsamlatch/Control/PrefixMirror.h
@@ -48,7 +48,7 @@
   bool isStoreReachable() const { return Complete && StoreReachable; }
 
 private:
-  struct Life;
+  struct Instance;
 
   void listPage();
   void watch();
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -117,9 +117,9 @@
           continue;
         }
         WorkerState &Worker = Workers[Task.Worker.Id];
-        Worker.Record.Life.Id = Task.Worker.Id;
-        Worker.Record.Life.Born =
-            std::max(Worker.Record.Life.Born, Task.Worker.Born);
+        Worker.Record.Instance.Id = Task.Worker.Id;
+        Worker.Record.Instance.Born =
+            std::max(Worker.Record.Instance.Born, Task.Worker.Born);
         RunState Run;
         Run.Number = Task.Run;
         Run.Phase = RunPhase::Uncertain;
@@ -171,11 +171,11 @@
   }
   for (const auto &[Id, Record] : Records) {
     WorkerState &Worker = Workers[Id];
-    if (Record.Life.Born < Worker.Record.Life.Born) {
+    if (Record.Instance.Born < Worker.Record.Instance.Born) {
       continue; // the worker has already reported a later life
     }
-    if (Record.Life.Born > Worker.Record.Life.Born) {
-      setWorkerLife(Worker, Record.Life.Born);
+    if (Record.Instance.Born > Worker.Record.Instance.Born) {
+      setWorkerInstance(Worker, Record.Instance.Born);
     }
     if (!Worker.IsRegistered) {
       Worker.NextHoldAt = Time.now();
@@ -186,8 +186,8 @@
   PlanNeeded = true;
 }
 
-void Dispatcher::setWorkerLife(WorkerState &Worker, std::int64_t Born) {
-  if (Worker.Record.Life.Born == Born) {
+void Dispatcher::setWorkerInstance(WorkerState &Worker, std::int64_t Born) {
+  if (Worker.Record.Instance.Born == Born) {
     return;
   }
   for (auto &[Task, Run] : Worker.Runs) {
@@ -195,13 +195,13 @@
       proposeEnd(Worker, Task, Run, RunEnd::Lost, {});
     }
   }
-  if (Worker.Record.Life.Born != 0) {
+  if (Worker.Record.Instance.Born != 0) {
     Log.write(LogLevel::Info, "worker-restarted",
-              {{"worker", Worker.Record.Life.Id},
+              {{"worker", Worker.Record.Instance.Id},
                {"born", Born},
-               {"before", Worker.Record.Life.Born}});
+               {"before", Worker.Record.Instance.Born}});
   }
-  Worker.Record.Life.Born = Born;
+  Worker.Record.Instance.Born = Born;
   Worker.HasReported = false;
   Worker.EndsSeen = 0;
   Worker.EndsInBatch = 0;
@@ -255,7 +255,7 @@
   const bool IsStillWanted =
       Job != nullptr && Job->open() && !Run->StopRequested;
   // The worker may have restarted while the event was being written.
-  if (!IsStillWanted || Worker.Record.Life != Event.Worker) {
+  if (!IsStillWanted || Worker.Record.Instance != Event.Worker) {
     proposeEnd(Worker, Event.Task, *Run, RunEnd::Refused, {});
     return;
   }
@@ -334,10 +334,10 @@
             {{"job", Task.Job.Text},
              {"task", placeOf(Task)},
              {"run", Run.Number},
-             {"worker", Worker.Record.Life.Id},
+             {"worker", Worker.Record.Instance.Id},
              {"how", runEndName(End)}});
   releaseClaim(Worker, Run);
-  WorkerOfEndingRun[Task] = Worker.Record.Life.Id;
+  WorkerOfEndingRun[Task] = Worker.Record.Instance.Id;
   Events.emplace_back(jobs::TaskEnded{Task, Run.Number, End, Checkpoint});
   if (End != RunEnd::Done) {
     stopGangPeers(Task, Run.Number);
@@ -369,16 +369,17 @@
     }
     Log.write(LogLevel::Info, "run-lost",
               {{"job", Task.Job.Text},
-               {"worker", Worker.Record.Life.Id},
+               {"worker", Worker.Record.Instance.Id},
                {"run", Run.Number},
                {"why", Reason}});
     proposeEnd(Worker, Task, Run, RunEnd::Lost, Run.Checkpoint);
   }
 }
 
-WorkerState *Dispatcher::findWorker(const WorkerLife &Life) {
-  const auto WorkerIt = Workers.find(Life.Id);
-  return WorkerIt == Workers.end() || WorkerIt->second.Record.Life != Life
+WorkerState *Dispatcher::findWorker(const WorkerInstance &Instance) {
+  const auto WorkerIt = Workers.find(Instance.Id);
+  return WorkerIt == Workers.end() ||
+                 WorkerIt->second.Record.Instance != Instance
              ? nullptr
              : &WorkerIt->second;
 }
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -172,7 +172,7 @@
             {{"job", Task.Job.Text},
              {"task", placeOf(Task)},
              {"run", Run.Number},
-             {"worker", Worker.Record.Life.Id},
+             {"worker", Worker.Record.Instance.Id},
              {"used_cpu_milli", Worker.ClaimedResources.CpuMilli},
              {"report_age_ms", toMilliseconds(Now - Worker.LastReportAt)}});
   Orders.emplace_back(std::move(Order));
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -223,12 +223,14 @@
     // query also names workers that are full now but may have room soon.
     PermitQuery Query;
     Query.Step = Step;
-    std::vector<WorkerLife> FullWorkers;
+    std::vector<WorkerInstance> FullWorkers;
     for (const WorkerState *Worker : PoolIt->second) {
-      if (Permits.needsQuery(Step, Worker->Record.Life, Now + PermitMargin)) {
+      if (Permits.needsQuery(Step, Worker->Record.Instance,
+                             Now + PermitMargin)) {
         const bool HasRoom =
             claimFor(Candidate.spec()).fitsInto(Worker->freeResources());
-        (HasRoom ? Query.Workers : FullWorkers).push_back(Worker->Record.Life);
+        (HasRoom ? Query.Workers : FullWorkers)
+            .push_back(Worker->Record.Instance);
       }
     }
     if (Query.Workers.empty()) {
@@ -378,13 +380,13 @@
         (Step.MaxPerWorker > 0 &&
          countRunsOfStep(*Worker, Task) >= Step.MaxPerWorker) ||
         (Candidate.Policy &&
-         Permits.findTicket(stepOf(Task), Worker->Record.Life, PermitUntil) ==
-             nullptr)) {
+         Permits.findTicket(stepOf(Task), Worker->Record.Instance,
+                            PermitUntil) == nullptr)) {
       continue;
     }
     double Score = scoreWorker(*Worker, Step);
     if (FailedIt != LastFailedWorker.end() &&
-        FailedIt->second == Worker->Record.Life.Id) {
+        FailedIt->second == Worker->Record.Instance.Id) {
       Score -= FailedOnWorkerPenalty;
     }
     if (BestWorker == nullptr || Score > BestScore) {
@@ -400,19 +402,19 @@
   const TaskRef Task = Candidate.task(Index);
   RunState NewRun;
   NewRun.Number = Run;
-  NewRun.WorkerBorn = Worker.Record.Life.Born;
+  NewRun.WorkerBorn = Worker.Record.Instance.Born;
   NewRun.Claim = claimFor(Candidate.spec());
   NewRun.Lasting = Candidate.spec().Lasting;
   NewRun.Filler = Candidate.spec().Filler;
   NewRun.TailObjective = Candidate.spec().TailObjective;
-  if (const std::string *Ticket =
-          Permits.findTicket(stepOf(Task), Worker.Record.Life, Time.now())) {
+  if (const std::string *Ticket = Permits.findTicket(
+          stepOf(Task), Worker.Record.Instance, Time.now())) {
     NewRun.Ticket = *Ticket;
   }
   Worker.ClaimedResources += NewRun.Claim;
   Worker.Runs[Task] = NewRun;
   ProposedTasks.insert(Task);
-  Events.emplace_back(jobs::TaskPlaced{Task, Run, Worker.Record.Life});
+  Events.emplace_back(jobs::TaskPlaced{Task, Run, Worker.Record.Instance});
 }
 
 } // namespace balsamlatch::dispatch
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -52,12 +52,12 @@
     Worker.NextHoldAt = Now + UnresponsiveHoldPeriod;
     return;
   }
-  if (Report.Born != 0 && Report.Born < Worker.Record.Life.Born) {
+  if (Report.Born != 0 && Report.Born < Worker.Record.Instance.Born) {
     Worker.NextHoldAt = Now; // the reply is from an earlier life
     return;
   }
-  if (Report.Born > Worker.Record.Life.Born) {
-    setWorkerLife(Worker, Report.Born);
+  if (Report.Born > Worker.Record.Instance.Born) {
+    setWorkerInstance(Worker, Report.Born);
   }
   PlanNeeded = PlanNeeded || Worker.IsUnresponsive || !Worker.HasReported;
   if (!Worker.HasReported) {
@@ -127,7 +127,7 @@
   if (End != RunEnd::Failed) {
     return;
   }
-  LastFailedWorker[Task] = Worker.Record.Life.Id;
+  LastFailedWorker[Task] = Worker.Record.Instance.Id;
   const bool IsOtherJob = Worker.LastFailedJob != Task.Job;
   Worker.LastFailedJob = Task.Job;
   Worker.ConsecutiveFailures +=
@@ -141,7 +141,7 @@
       std::min(Worker.AvoidanceDoublings + 1, MaxAvoidanceDoublings);
   Worker.ConsecutiveFailures = AvoidanceThreshold - 1;
   Log.write(LogLevel::Warning, "worker-avoided",
-            {{"worker", Worker.Record.Life.Id},
+            {{"worker", Worker.Record.Instance.Id},
              {"why", "runs of several jobs failed one after another"}});
 }
 
@@ -165,7 +165,7 @@
   Log.write(LogLevel::Info, "run-orphaned",
             {{"job", ReportedRun.Task.Job.Text},
              {"run", ReportedRun.Run},
-             {"worker", Worker.Record.Life.Id},
+             {"worker", Worker.Record.Instance.Id},
              {"why", "the journal has no such run on this worker"}});
   Orders.emplace_back(StopOrder{Worker.Record.Address, Token, ReportedRun.Task,
                                 ReportedRun.Run});
@@ -198,10 +198,10 @@
       Now - Run.PercentChangedAt > Settings.StallTimeout) {
     Log.write(LogLevel::Warning, "run-stalled",
               {{"job", ReportedRun.Task.Job.Text},
-               {"worker", Worker.Record.Life.Id},
+               {"worker", Worker.Record.Instance.Id},
                {"percent", Run.Percent}});
     Run.StopRequested = true;
-    LastFailedWorker[ReportedRun.Task] = Worker.Record.Life.Id;
+    LastFailedWorker[ReportedRun.Task] = Worker.Record.Instance.Id;
   }
 }
 
@@ -291,7 +291,7 @@
   const FillerPace NewPace = nextPace(Worker.TargetPace, Tails);
   if (NewPace.Percent != Worker.TargetPace.Percent) {
     Log.write(LogLevel::Info, "fillers-paced",
-              {{"worker", Worker.Record.Life.Id},
+              {{"worker", Worker.Record.Instance.Id},
                {"percent", NewPace.Percent},
                {"before", Worker.TargetPace.Percent},
                {"tail_percent",
--- a/Source/Dispatch/Permits.cpp
+++ b/Source/Dispatch/Permits.cpp
@@ -6,7 +6,7 @@
 namespace balsamlatch::dispatch {
 
 const std::string *PermitCache::findTicket(const StepRef &Step,
-                                           const WorkerLife &Worker,
+                                           const WorkerInstance &Worker,
                                            Instant Until) const {
   const auto StepIt = DecisionsByStep.find(Step);
   if (StepIt == DecisionsByStep.end()) {
@@ -20,7 +20,7 @@
   return IsValid ? &DecisionIt->second.Ticket : nullptr;
 }
 
-bool PermitCache::needsQuery(const StepRef &Step, const WorkerLife &Worker,
+bool PermitCache::needsQuery(const StepRef &Step, const WorkerInstance &Worker,
                              Instant Until) const {
   const auto StepIt = DecisionsByStep.find(Step);
   if (StepIt == DecisionsByStep.end()) {
@@ -35,7 +35,7 @@
 void PermitCache::store(const PermitQuery &Query, const PermitReply &Reply,
                         Instant AskedAt) {
   Decisions &StepDecisions = DecisionsByStep[Query.Step];
-  for (const WorkerLife &Worker : Query.Workers) {
+  for (const WorkerInstance &Worker : Query.Workers) {
     StepDecisions[Worker.Id] = {Worker.Born, "", {}};
   }
   for (const Permit &GrantedPermit : Reply.Allowed) {
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Deployment.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Deployment.h
@@ -21,7 +21,7 @@
 using jobs::QueueName;
 using jobs::Resources;
 using jobs::TaskRef;
-using jobs::WorkerLife;
+using jobs::WorkerInstance;
 
 /// Marks a queue whose steps run only on workers that a policy service permits,
 /// and tells how long its decisions take.
@@ -98,7 +98,7 @@
 
 /// The registration of a worker.
 struct WorkerRecord {
-  WorkerLife Life;
+  WorkerInstance Instance;
   PoolName Pool;
   WorkerAddress Address;
   DataCentreName DataCentre;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -120,7 +120,7 @@
 
 private:
   /// Null if the worker is unknown or in another life.
-  WorkerState *findWorker(const WorkerLife &Life);
+  WorkerState *findWorker(const WorkerInstance &Instance);
   /// Null if the task has no run with this number on the worker.
   RunState *findRun(const std::string &WorkerId, const TaskRef &Task,
                     std::uint32_t Run);
@@ -152,7 +152,7 @@
   /// Declares all runs on the worker lost.
   void endAllAsLost(WorkerState &Worker, std::string_view Reason);
   /// Switches to another life of the worker; runs of earlier lives are lost.
-  void setWorkerLife(WorkerState &Worker, std::int64_t Born);
+  void setWorkerInstance(WorkerState &Worker, std::int64_t Born);
   void processEndedRuns(WorkerState &Worker, const HoldReport &Report);
   /// Handles the end of a run that is no longer tracked, such as one that was
   /// declared lost.
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
@@ -29,7 +29,7 @@
 /// Asks the policy service which of the workers may run the step.
 struct PermitQuery {
   StepRef Step;
-  std::vector<WorkerLife> Workers;
+  std::vector<WorkerInstance> Workers;
   /// Expected time of the decision by the queue's configuration.
   Duration Expected{};
 
@@ -57,11 +57,12 @@
   void clear() { DecisionsByStep.clear(); }
   /// Returns the ticket of a permit that is valid until after \p Until, or
   /// null.
-  const std::string *findTicket(const StepRef &Step, const WorkerLife &Worker,
+  const std::string *findTicket(const StepRef &Step,
+                                const WorkerInstance &Worker,
                                 Instant Until) const;
   /// Whether a query for the worker may give a permit that is not cached or no
   /// longer valid.
-  bool needsQuery(const StepRef &Step, const WorkerLife &Worker,
+  bool needsQuery(const StepRef &Step, const WorkerInstance &Worker,
                   Instant Until) const;
   /// Stores a reply; workers of the query without a permit may not run the
   /// step.
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -264,7 +264,7 @@
   StepRecord &Members =
       ParentJob->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step];
   saveCheckpoint(Step, Members, *Task, Event.Checkpoint);
-  Task->Worker = WorkerLife();
+  Task->Worker = WorkerInstance();
   const bool IsTaskDone = Event.How == RunEnd::Done && !Step.Lasting;
   Task->Phase = IsTaskDone ? TaskPhase::Done : TaskPhase::Waiting;
   ParentJob->OpenTasks -= IsTaskDone ? 1 : 0;
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -38,12 +38,12 @@
 
 /// One instance of a worker process. A restart under the same ID is another
 /// instance.
-struct WorkerLife {
+struct WorkerInstance {
   std::string Id;
   /// Start time in Unix milliseconds; 0 while unknown.
   std::int64_t Born = 0;
 
-  auto operator<=>(const WorkerLife &) const = default;
+  auto operator<=>(const WorkerInstance &) const = default;
 };
 
 /// How a run of a task ended.
@@ -85,7 +85,7 @@
 struct TaskPlaced {
   TaskRef Task;
   std::uint32_t Run = 0;
-  WorkerLife Worker;
+  WorkerInstance Worker;
 
   auto operator<=>(const TaskPlaced &) const = default;
 };
@@ -137,7 +137,7 @@
   std::uint32_t Failures = 0;
   /// Number of the last failed run; 0 for none.
   std::uint32_t LastFailedRun = 0;
-  WorkerLife Worker;
+  WorkerInstance Worker;
   std::string Checkpoint;
 
   auto operator<=>(const TaskRecord &) const = default;
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -237,7 +237,7 @@
   FakeWorker &EndedWorker =
       FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1];
   EndedWorker.crash(Sim.Time.now(), Sim.Observed);
-  EndedWorker.Record.Life.Born -=
+  EndedWorker.Record.Instance.Born -=
       1000; // the registration is still from the earlier life
   EndedWorker.IsDown = true;
   Sim.startNewTerm();
@@ -264,9 +264,9 @@
     }
     Policy = [this, Count](const PermitQuery &Query) {
       PermitReply Reply{{}, 1s};
-      for (const WorkerLife &Worker : Query.Workers) {
+      for (const WorkerInstance &Worker : Query.Workers) {
         for (unsigned Index = 1; Index < Count; Index += 2) {
-          if (Workers[Index].Record.Life.Id == Worker.Id) {
+          if (Workers[Index].Record.Instance.Id == Worker.Id) {
             Reply.Allowed.push_back({Worker.Id, Workers[Index].RequiredTicket});
           }
         }
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -55,7 +55,7 @@
   }
   HoldReport Report;
   Report.Clock = clock(Now);
-  Report.Born = Record.Life.Born;
+  Report.Born = Record.Instance.Born;
   Report.Ended = Ends;
   for (auto &[Task, Run] : Runs) {
     if (Order.LeaseUntil) {
@@ -103,7 +103,7 @@
   if (Order.SpecText == "filler") {
     Paces[Order.Task] = 100;
   }
-  Observed.Runs.push_back({Order.Task, Order.Run, Record.Life.Id, Now});
+  Observed.Runs.push_back({Order.Task, Order.Run, Record.Instance.Id, Now});
   Runs[Order.Task] = {Order.Run, Lasting, Now, Order.LeaseUntil,
                       Observed.Runs.size() - 1};
   return OrderOutcome::Done;
@@ -180,7 +180,7 @@
   LeaseUntil = {};
   TraceByEnd.clear();
   BootedAt = Now;
-  Record.Life.Born += 1000;
+  Record.Instance.Born += 1000;
 }
 
 Simulation::Simulation(unsigned WorkerCount, std::uint64_t Seed)
@@ -195,9 +195,9 @@
   Config->Pools = {{TestPool, false, true}};
   for (unsigned Index = 0; Index < WorkerCount; ++Index) {
     FakeWorker &NewWorker = Workers.emplace_back();
-    NewWorker.Record.Life = {fmt::format("w{}", Index), 1000};
+    NewWorker.Record.Instance = {fmt::format("w{}", Index), 1000};
     NewWorker.Record.Pool = TestPool;
-    NewWorker.Record.Address = {"10.0.0.1", 1, NewWorker.Record.Life.Id};
+    NewWorker.Record.Address = {"10.0.0.1", 1, NewWorker.Record.Instance.Id};
     NewWorker.Record.Capacity = {4000, 4000, 0};
   }
   startNewTerm();
@@ -235,7 +235,7 @@
   std::map<std::string, WorkerRecord> Registered;
   for (FakeWorker &Worker : Workers) {
     Worker.advance(Time.now(), Observed);
-    Registered[Worker.Record.Life.Id] = Worker.Record;
+    Registered[Worker.Record.Instance.Id] = Worker.Record;
   }
   JobDispatcher->setWorkers(Registered);
   std::vector<PendingAction> DueActions;
@@ -304,9 +304,10 @@
 }
 
 FakeWorker *Simulation::find(const std::string &Id) {
-  const auto WorkerIt = std::find_if(
-      Workers.begin(), Workers.end(),
-      [&](const FakeWorker &Worker) { return Worker.Record.Life.Id == Id; });
+  const auto WorkerIt = std::find_if(Workers.begin(), Workers.end(),
+                                     [&](const FakeWorker &Worker) {
+                                       return Worker.Record.Instance.Id == Id;
+                                     });
   return WorkerIt == Workers.end() ? nullptr : &*WorkerIt;
 }
 
@@ -328,7 +329,7 @@
         return TypedOrder.To.WorkerId;
       },
       Order);
-  const std::int64_t IntendedBorn = find(WorkerId)->Record.Life.Born;
+  const std::int64_t IntendedBorn = find(WorkerId)->Record.Instance.Born;
   schedule(Delay, [this, Order, SenderTerm = Term, IntendedBorn, ReplyLost,
                    ExtraDelay] {
     deliver(Order, SenderTerm, IntendedBorn, !ReplyLost && !ExtraDelay);
@@ -360,10 +361,10 @@
   // A later life of the worker refuses orders for an earlier one.
   const auto IsReachable = [&](const FakeWorker &Worker,
                                OrderOutcome &Outcome) {
-    Outcome = Worker.Record.Life.Born == IntendedBorn
+    Outcome = Worker.Record.Instance.Born == IntendedBorn
                   ? OrderOutcome::Unknown
                   : OrderOutcome::OtherWorker;
-    return !Worker.IsDown && Worker.Record.Life.Born == IntendedBorn;
+    return !Worker.IsDown && Worker.Record.Instance.Born == IntendedBorn;
   };
   const bool ReplyArrives = SendsReply && SenderTerm == Term;
   const Instant SentAt = Time.now() - NetworkDelay;
