--- a/Source/Control/PolicyRelay.cpp
+++ b/Source/Control/PolicyRelay.cpp
@@ -22,7 +22,7 @@
 std::string encodeQuery(const dispatch::PermitQuery &Query) {
   json::array Workers;
   for (const dispatch::WorkerInstance &Worker : Query.Workers) {
-    Workers.push_back(json::array{Worker.Id, Worker.Born});
+    Workers.push_back(json::array{Worker.Id, Worker.Incarnation});
   }
   return json::serialize(json::object{{"job", Query.Step.Job.Text},
                                       {"occurrence", Query.Step.Occurrence},
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -118,13 +118,13 @@
         }
         WorkerState &Worker = Workers[Task.Worker.Id];
         Worker.Record.Instance.Id = Task.Worker.Id;
-        Worker.Record.Instance.Born =
-            std::max(Worker.Record.Instance.Born, Task.Worker.Born);
+        Worker.Record.Instance.Incarnation = std::max(
+            Worker.Record.Instance.Incarnation, Task.Worker.Incarnation);
         RunState Run;
         Run.Number = Task.Run;
         Run.Phase = RunPhase::Uncertain;
         Run.FromEarlierTerm = true;
-        Run.WorkerBorn = Task.Worker.Born;
+        Run.WorkerIncarnation = Task.Worker.Incarnation;
         const jobs::StepSpec &Spec = Job.spec().Steps[Step];
         Run.Claim = claimFor(Spec);
         Run.Lasting = Spec.Lasting;
@@ -171,11 +171,11 @@
   }
   for (const auto &[Id, Record] : Records) {
     WorkerState &Worker = Workers[Id];
-    if (Record.Instance.Born < Worker.Record.Instance.Born) {
+    if (Record.Instance.Incarnation < Worker.Record.Instance.Incarnation) {
       continue; // the worker has already reported a later life
     }
-    if (Record.Instance.Born > Worker.Record.Instance.Born) {
-      setWorkerInstance(Worker, Record.Instance.Born);
+    if (Record.Instance.Incarnation > Worker.Record.Instance.Incarnation) {
+      setWorkerInstance(Worker, Record.Instance.Incarnation);
     }
     if (!Worker.IsRegistered) {
       Worker.NextHoldAt = Time.now();
@@ -186,22 +186,23 @@
   PlanNeeded = true;
 }
 
-void Dispatcher::setWorkerInstance(WorkerState &Worker, std::int64_t Born) {
-  if (Worker.Record.Instance.Born == Born) {
+void Dispatcher::setWorkerInstance(WorkerState &Worker,
+                                   std::int64_t Incarnation) {
+  if (Worker.Record.Instance.Incarnation == Incarnation) {
     return;
   }
   for (auto &[Task, Run] : Worker.Runs) {
-    if (Run.WorkerBorn < Born) {
+    if (Run.WorkerIncarnation < Incarnation) {
       proposeEnd(Worker, Task, Run, RunEnd::Lost, {});
     }
   }
-  if (Worker.Record.Instance.Born != 0) {
+  if (Worker.Record.Instance.Incarnation != 0) {
     Log.write(LogLevel::Info, "worker-restarted",
               {{"worker", Worker.Record.Instance.Id},
-               {"born", Born},
-               {"before", Worker.Record.Instance.Born}});
+               {"born", Incarnation},
+               {"before", Worker.Record.Instance.Incarnation}});
   }
-  Worker.Record.Instance.Born = Born;
+  Worker.Record.Instance.Incarnation = Incarnation;
   Worker.HasReported = false;
   Worker.EndsSeen = 0;
   Worker.EndsInBatch = 0;
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -402,7 +402,7 @@
   const TaskRef Task = Candidate.task(Index);
   RunState NewRun;
   NewRun.Number = Run;
-  NewRun.WorkerBorn = Worker.Record.Instance.Born;
+  NewRun.WorkerIncarnation = Worker.Record.Instance.Incarnation;
   NewRun.Claim = claimFor(Candidate.spec());
   NewRun.Lasting = Candidate.spec().Lasting;
   NewRun.Filler = Candidate.spec().Filler;
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -52,12 +52,13 @@
     Worker.NextHoldAt = Now + UnresponsiveHoldPeriod;
     return;
   }
-  if (Report.Born != 0 && Report.Born < Worker.Record.Instance.Born) {
+  if (Report.Incarnation != 0 &&
+      Report.Incarnation < Worker.Record.Instance.Incarnation) {
     Worker.NextHoldAt = Now; // the reply is from an earlier life
     return;
   }
-  if (Report.Born > Worker.Record.Instance.Born) {
-    setWorkerInstance(Worker, Report.Born);
+  if (Report.Incarnation > Worker.Record.Instance.Incarnation) {
+    setWorkerInstance(Worker, Report.Incarnation);
   }
   PlanNeeded = PlanNeeded || Worker.IsUnresponsive || !Worker.HasReported;
   if (!Worker.HasReported) {
--- a/Source/Dispatch/Permits.cpp
+++ b/Source/Dispatch/Permits.cpp
@@ -15,7 +15,7 @@
   const auto DecisionIt = StepIt->second.find(Worker.Id);
   const bool IsValid = DecisionIt != StepIt->second.end() &&
                        !DecisionIt->second.Ticket.empty() &&
-                       DecisionIt->second.Born == Worker.Born &&
+                       DecisionIt->second.Incarnation == Worker.Incarnation &&
                        Until < DecisionIt->second.ValidUntil;
   return IsValid ? &DecisionIt->second.Ticket : nullptr;
 }
@@ -36,7 +36,7 @@
                         Instant AskedAt) {
   Decisions &StepDecisions = DecisionsByStep[Query.Step];
   for (const WorkerInstance &Worker : Query.Workers) {
-    StepDecisions[Worker.Id] = {Worker.Born, "", {}};
+    StepDecisions[Worker.Id] = {Worker.Incarnation, "", {}};
   }
   for (const Permit &GrantedPermit : Reply.Allowed) {
     const auto DecisionIt = StepDecisions.find(GrantedPermit.WorkerId);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -152,7 +152,7 @@
   /// Declares all runs on the worker lost.
   void endAllAsLost(WorkerState &Worker, std::string_view Reason);
   /// Switches to another life of the worker; runs of earlier lives are lost.
-  void setWorkerInstance(WorkerState &Worker, std::int64_t Born);
+  void setWorkerInstance(WorkerState &Worker, std::int64_t Incarnation);
   void processEndedRuns(WorkerState &Worker, const HoldReport &Report);
   /// Handles the end of a run that is no longer tracked, such as one that was
   /// declared lost.
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -101,7 +101,7 @@
 struct HoldReport {
   WorkerClock Clock{};
   /// Identifies the life of the worker; each restart raises it.
-  std::int64_t Born = 0;
+  std::int64_t Incarnation = 0;
   std::vector<RunningTask> Running;
   std::vector<EndedTask> Ended;
 
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
@@ -74,7 +74,7 @@
 
 private:
   struct Decision {
-    std::int64_t Born = 0;
+    std::int64_t Incarnation = 0;
     // Empty if the worker may not run the step, in any of its lives.
     std::string Ticket;
     Instant ValidUntil{};
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -159,7 +159,7 @@
           Task.Failures,
           Task.LastFailedRun,
           json::string(Task.Worker.Id),
-          Task.Worker.Born,
+          Task.Worker.Incarnation,
           json::string(Task.Checkpoint)};
 }
 
@@ -171,7 +171,7 @@
   Task.Failures = Reader.number<std::uint32_t>();
   Task.LastFailedRun = Reader.number<std::uint32_t>();
   Task.Worker.Id = Reader.text();
-  Task.Worker.Born = Reader.number<std::int64_t>();
+  Task.Worker.Incarnation = Reader.number<std::int64_t>();
   Task.Checkpoint = Reader.text();
   return Task;
 }
@@ -226,7 +226,7 @@
   json::array operator()(const TaskPlaced &Event) const {
     json::array Fields = taskEventArray("p", Event.Task, Event.Run);
     Fields.emplace_back(Event.Worker.Id);
-    Fields.emplace_back(Event.Worker.Born);
+    Fields.emplace_back(Event.Worker.Incarnation);
     return Fields;
   }
   json::array operator()(const TaskEnded &Event) const {
@@ -258,7 +258,7 @@
   if (Kind == 'p') {
     TaskPlaced Event{Task, Run, {}};
     Event.Worker.Id = Reader.text();
-    Event.Worker.Born = Reader.number<std::int64_t>();
+    Event.Worker.Incarnation = Reader.number<std::int64_t>();
     return Event;
   }
   if (Kind == 'e') {
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -41,7 +41,7 @@
 struct WorkerInstance {
   std::string Id;
   /// Start time in Unix milliseconds; 0 while unknown.
-  std::int64_t Born = 0;
+  std::int64_t Incarnation = 0;
 
   auto operator<=>(const WorkerInstance &) const = default;
 };
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -237,7 +237,7 @@
   FakeWorker &EndedWorker =
       FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1];
   EndedWorker.crash(Sim.Time.now(), Sim.Observed);
-  EndedWorker.Record.Instance.Born -=
+  EndedWorker.Record.Instance.Incarnation -=
       1000; // the registration is still from the earlier life
   EndedWorker.IsDown = true;
   Sim.startNewTerm();
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -55,7 +55,7 @@
   }
   HoldReport Report;
   Report.Clock = clock(Now);
-  Report.Born = Record.Instance.Born;
+  Report.Incarnation = Record.Instance.Incarnation;
   Report.Ended = Ends;
   for (auto &[Task, Run] : Runs) {
     if (Order.LeaseUntil) {
@@ -180,7 +180,7 @@
   LeaseUntil = {};
   TraceByEnd.clear();
   BootedAt = Now;
-  Record.Instance.Born += 1000;
+  Record.Instance.Incarnation += 1000;
 }
 
 Simulation::Simulation(unsigned WorkerCount, std::uint64_t Seed)
@@ -329,10 +329,11 @@
         return TypedOrder.To.WorkerId;
       },
       Order);
-  const std::int64_t IntendedBorn = find(WorkerId)->Record.Instance.Born;
-  schedule(Delay, [this, Order, SenderTerm = Term, IntendedBorn, ReplyLost,
-                   ExtraDelay] {
-    deliver(Order, SenderTerm, IntendedBorn, !ReplyLost && !ExtraDelay);
+  const std::int64_t IntendedIncarnation =
+      find(WorkerId)->Record.Instance.Incarnation;
+  schedule(Delay, [this, Order, SenderTerm = Term, IntendedIncarnation,
+                   ReplyLost, ExtraDelay] {
+    deliver(Order, SenderTerm, IntendedIncarnation, !ReplyLost && !ExtraDelay);
   });
   if (!ReplyLost && !ExtraDelay) {
     return;
@@ -357,14 +358,15 @@
 }
 
 void Simulation::deliver(const WorkerOrder &Order, std::uint64_t SenderTerm,
-                         std::int64_t IntendedBorn, bool SendsReply) {
+                         std::int64_t IntendedIncarnation, bool SendsReply) {
   // A later life of the worker refuses orders for an earlier one.
   const auto IsReachable = [&](const FakeWorker &Worker,
                                OrderOutcome &Outcome) {
-    Outcome = Worker.Record.Instance.Born == IntendedBorn
+    Outcome = Worker.Record.Instance.Incarnation == IntendedIncarnation
                   ? OrderOutcome::Unknown
                   : OrderOutcome::OtherWorker;
-    return !Worker.IsDown && Worker.Record.Instance.Born == IntendedBorn;
+    return !Worker.IsDown &&
+           Worker.Record.Instance.Incarnation == IntendedIncarnation;
   };
   const bool ReplyArrives = SendsReply && SenderTerm == Term;
   const Instant SentAt = Time.now() - NetworkDelay;
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -147,7 +147,7 @@
   void sendQuery(const PermitQuery &Query);
   void send(const WorkerOrder &Order);
   void deliver(const WorkerOrder &Order, std::uint64_t SenderTerm,
-               std::int64_t IntendedBorn, bool SendsReply);
+               std::int64_t IntendedIncarnation, bool SendsReply);
   FakeWorker *find(const std::string &Id);
   void schedule(Duration Delay, std::function<void()> Action);
   bool isLasting(const TaskRef &Task) const;
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -66,7 +66,7 @@
   const auto Worker = decodeWorker("i-1", ValidRegistration);
   BOOST_REQUIRE(Worker.ok());
   BOOST_TEST(Worker->Address.Port == 80);
-  BOOST_TEST(Worker->Instance.Born == 5);
+  BOOST_TEST(Worker->Instance.Incarnation == 5);
   for (
       const char *InvalidRegistration :
       {"", "\xff\xfe", "null", "{}",
