--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -9,7 +9,7 @@
 namespace balsamlatch::dispatch {
 
 using jobs::JobEvent;
-using jobs::RunEnd;
+using jobs::RunOutcome;
 using jobs::TaskPhase;
 using jobs::TaskRecord;
 
@@ -21,19 +21,19 @@
 /// throttled.
 constexpr unsigned AdoptedPacePercent = 50;
 
-std::string_view runEndName(RunEnd End) {
+std::string_view runEndName(RunOutcome End) {
   switch (End) {
-  case RunEnd::Done:
+  case RunOutcome::Done:
     return "done";
-  case RunEnd::Failed:
+  case RunOutcome::Failed:
     return "failed";
-  case RunEnd::Stopped:
+  case RunOutcome::Stopped:
     return "stopped";
-  case RunEnd::Lost:
+  case RunOutcome::Lost:
     return "lost";
-  case RunEnd::GangBroken:
+  case RunOutcome::GangBroken:
     return "gang-broken";
-  case RunEnd::Refused:
+  case RunOutcome::Refused:
     return "refused";
   }
   return "lost";
@@ -193,7 +193,7 @@
   }
   for (auto &[Task, Run] : Worker.Runs) {
     if (Run.WorkerIncarnation < Incarnation) {
-      proposeEnd(Worker, Task, Run, RunEnd::Lost, {});
+      proposeEnd(Worker, Task, Run, RunOutcome::Lost, {});
     }
   }
   if (Worker.Record.Instance.Incarnation != 0) {
@@ -248,7 +248,7 @@
   RunState *Run = findRun(Event.Worker.Id, Event.Task, Event.Run);
   if (Run == nullptr) {
     Events.emplace_back(
-        jobs::TaskEnded{Event.Task, Event.Run, RunEnd::Refused, {}});
+        jobs::TaskEnded{Event.Task, Event.Run, RunOutcome::Refused, {}});
     return;
   }
   WorkerState &Worker = Workers.at(Event.Worker.Id);
@@ -257,7 +257,7 @@
       Job != nullptr && Job->open() && !Run->StopRequested;
   // The worker may have restarted while the event was being written.
   if (!IsStillWanted || Worker.Record.Instance != Event.Worker) {
-    proposeEnd(Worker, Event.Task, *Run, RunEnd::Refused, {});
+    proposeEnd(Worker, Event.Task, *Run, RunOutcome::Refused, {});
     return;
   }
   orderStart(Worker, Event.Task, *Run);
@@ -321,7 +321,7 @@
 }
 
 void Dispatcher::proposeEnd(WorkerState &Worker, const TaskRef &Task,
-                            RunState &Run, RunEnd End,
+                            RunState &Run, RunOutcome End,
                             const std::string &Checkpoint) {
   if (Run.Phase == RunPhase::Ending) {
     return;
@@ -340,7 +340,7 @@
   releaseClaim(Worker, Run);
   WorkerOfEndingRun[Task] = Worker.Record.Instance.Id;
   Events.emplace_back(jobs::TaskEnded{Task, Run.Number, End, Checkpoint});
-  if (End != RunEnd::Done) {
+  if (End != RunOutcome::Done) {
     stopGangPeers(Task, Run.Number);
   }
 }
@@ -373,7 +373,7 @@
                {"worker", Worker.Record.Instance.Id},
                {"run", Run.Number},
                {"why", Reason}});
-    proposeEnd(Worker, Task, Run, RunEnd::Lost, Run.Checkpoint);
+    proposeEnd(Worker, Task, Run, RunOutcome::Lost, Run.Checkpoint);
   }
 }
 
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -9,7 +9,7 @@
 
 namespace balsamlatch::dispatch {
 
-using jobs::RunEnd;
+using jobs::RunOutcome;
 
 namespace {
 
@@ -105,7 +105,7 @@
   const jobs::Job *Job = Table->find(EndedRun.Task.Job);
   const jobs::TaskRecord *Task =
       Job == nullptr ? nullptr : Job->find(EndedRun.Task);
-  if (EndedRun.How != RunEnd::Done || Task == nullptr ||
+  if (EndedRun.How != RunOutcome::Done || Task == nullptr ||
       Task->Phase == jobs::TaskPhase::Done || Task->Run != EndedRun.Run ||
       Job->spec().Steps[EndedRun.Task.Step].Lasting ||
       isProposed(EndedRun.Task)) {
@@ -118,14 +118,14 @@
 }
 
 void Dispatcher::updateWorkerHealth(WorkerState &Worker, const TaskRef &Task,
-                                    RunEnd End) {
-  if (End == RunEnd::Done) {
+                                    RunOutcome End) {
+  if (End == RunOutcome::Done) {
     Worker.ConsecutiveFailures = 0;
     Worker.AvoidanceDoublings = 0;
     LastFailedWorker.erase(Task);
     return;
   }
-  if (End != RunEnd::Failed) {
+  if (End != RunOutcome::Failed) {
     return;
   }
   LastFailedWorker[Task] = Worker.Record.Instance.Id;
@@ -220,7 +220,7 @@
         (Run.FromEarlierTerm ||
          (Run.StopConfirmedAt && *Run.StopConfirmedAt < SentAt));
     if (HasEnded || CannotStart) {
-      proposeEnd(Worker, Task, Run, RunEnd::Lost, Run.Checkpoint);
+      proposeEnd(Worker, Task, Run, RunOutcome::Lost, Run.Checkpoint);
     }
   }
 }
@@ -273,7 +273,7 @@
              {"worker", Order.To.WorkerId},
              {"run", Order.Run},
              {"outcome", static_cast<int>(Outcome)}});
-  proposeEnd(Worker, Order.Task, *Run, RunEnd::Refused, {});
+  proposeEnd(Worker, Order.Task, *Run, RunOutcome::Refused, {});
 }
 
 void Dispatcher::adjustPace(WorkerState &Worker, Instant Now) {
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -136,13 +136,13 @@
   void advanceRecordedEnds(WorkerState &Worker, std::uint64_t Number);
   /// Proposes an event for the end of the run and releases its claim.
   void proposeEnd(WorkerState &Worker, const TaskRef &Task, RunState &Run,
-                  jobs::RunEnd End, const std::string &Checkpoint);
+                  jobs::RunOutcome End, const std::string &Checkpoint);
   static void releaseClaim(WorkerState &Worker, RunState &Run);
   /// Resources that a run claims. Fillers claim no CPU.
   static Resources claimFor(const jobs::StepSpec &Step);
   /// Counts consecutive failures, after which the worker is avoided.
   void updateWorkerHealth(WorkerState &Worker, const TaskRef &Task,
-                          jobs::RunEnd End);
+                          jobs::RunOutcome End);
   /// Stops the other members of a gang after one of them has ended.
   void stopGangPeers(const TaskRef &EndedMember, std::uint32_t Run);
   /// Proposes to close a job whose tasks have all completed, or one of whose
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -262,7 +262,7 @@
     return Event;
   }
   if (Kind == 'e') {
-    const auto End = static_cast<RunEnd>(Reader.number<int>());
+    const auto End = static_cast<RunOutcome>(Reader.number<int>());
     return TaskEnded{Task, Run, End, Reader.text()};
   }
   return CheckpointSaved{Task, Run, Reader.text()};
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -47,7 +47,7 @@
 };
 
 /// How a run of a task ended.
-enum class RunEnd {
+enum class RunOutcome {
   Done,
   /// The task or its worker failed.
   Failed,
@@ -94,7 +94,7 @@
 struct TaskEnded {
   TaskRef Task;
   std::uint32_t Run = 0;
-  RunEnd How = RunEnd::Lost;
+  RunOutcome How = RunOutcome::Lost;
   /// The newest checkpoint; empty for none.
   std::string Checkpoint;
 
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -481,7 +481,7 @@
   const std::vector<JobEvent> Events = {
       acceptedEvent("j"),
       TaskPlaced{Task, 4, {"w", 5}},
-      TaskEnded{Task, 4, RunEnd::Failed, "c"},
+      TaskEnded{Task, 4, RunOutcome::Failed, "c"},
       CheckpointSaved{Task, 4, "d"},
       JobClosed{JobId("j"), JobState::Failed, WallTime(7s)},
       JobForgotten{JobId("j")},
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -162,7 +162,7 @@
   Sim.cancel("a");
   Sim.run(500ms);
   for (const RunTrace &Run : Sim.Observed.Runs) {
-    BOOST_TEST((Run.End == jobs::RunEnd::Stopped));
+    BOOST_TEST((Run.End == jobs::RunOutcome::Stopped));
   }
   Sim.run(3s);
   BOOST_TEST(Sim.countStarts("a") == 2);
@@ -408,7 +408,8 @@
   jobs::JobTable Table = tableWithGang();
   for (unsigned Index = 0; Index < 3; ++Index) {
     Table.apply(
-        jobs::TaskEnded{{JobId("g"), 0, 0, Index}, 1, jobs::RunEnd::Failed, ""},
+        jobs::TaskEnded{
+            {JobId("g"), 0, 0, Index}, 1, jobs::RunOutcome::Failed, ""},
         2);
   }
   BOOST_TEST(Table.find(JobId("g"))->worstFailures() == 1);
--- a/Tests/Dispatch/HistoryChecker.cpp
+++ b/Tests/Dispatch/HistoryChecker.cpp
@@ -8,7 +8,7 @@
 
 namespace balsamlatch::dispatch::test {
 
-using jobs::RunEnd;
+using jobs::RunOutcome;
 
 namespace {
 
@@ -32,7 +32,7 @@
     }
     // A completed task may run again if no lease holder could know of its end:
     // the end was never acknowledged, or only after the lease had expired.
-    if (PreviousRun != nullptr && PreviousRun->End == RunEnd::Done &&
+    if (PreviousRun != nullptr && PreviousRun->End == RunOutcome::Done &&
         !Lasting && PreviousRun->EndAcknowledged &&
         !PreviousRun->LeaseExpiredFirst) {
       Violations.push_back(fmt::format("{} runs after it has completed", Task));
@@ -44,7 +44,7 @@
       Violations.push_back(
           fmt::format("{} runs after its last allowed attempt", Task));
     }
-    Failures += Run->End == RunEnd::Failed ? 1 : 0;
+    Failures += Run->End == RunOutcome::Failed ? 1 : 0;
     PreviousRun = Run;
   }
 }
@@ -52,7 +52,7 @@
 Instant completedAt(const std::vector<const RunTrace *> &Runs) {
   Instant Completed = Instant::max();
   for (const RunTrace *Run : Runs) {
-    if (Run->End == RunEnd::Done) {
+    if (Run->End == RunOutcome::Done) {
       Completed = std::min(Completed, Run->EndedAt);
     }
   }
--- a/Tests/Dispatch/HistoryTest.cpp
+++ b/Tests/Dispatch/HistoryTest.cpp
@@ -87,7 +87,7 @@
 }
 
 RunTrace makeTrace(unsigned Step, std::uint32_t Run, int StartSeconds,
-                   int EndSeconds, jobs::RunEnd End) {
+                   int EndSeconds, jobs::RunOutcome End) {
   return {{JobId("j"), 0, Step, 0},
           Run,
           "w",
@@ -111,34 +111,35 @@
 }
 
 BOOST_AUTO_TEST_CASE(CheckerRejectsInvalidHistories) {
-  using jobs::RunEnd;
+  using jobs::RunOutcome;
   const JobId Job("j");
-  BOOST_TEST(
-      findViolations({{makeTrace(0, 1, 0, 1, RunEnd::Done)}, {}, {}}).empty());
-  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 2, RunEnd::Lost),
-                               makeTrace(0, 2, 1, 3, RunEnd::Done)},
+  BOOST_TEST(findViolations({{makeTrace(0, 1, 0, 1, RunOutcome::Done)}, {}, {}})
+                 .empty());
+  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 2, RunOutcome::Lost),
+                               makeTrace(0, 2, 1, 3, RunOutcome::Done)},
                               {},
                               {}})
                   .empty());
-  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 1, RunEnd::Done),
-                               makeTrace(0, 2, 2, 3, RunEnd::Done)},
+  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 1, RunOutcome::Done),
+                               makeTrace(0, 2, 2, 3, RunOutcome::Done)},
                               {},
                               {}})
                   .empty());
-  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 1, RunEnd::Failed),
-                               makeTrace(0, 2, 2, 3, RunEnd::Failed),
-                               makeTrace(0, 3, 4, 5, RunEnd::Done)},
+  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 1, RunOutcome::Failed),
+                               makeTrace(0, 2, 2, 3, RunOutcome::Failed),
+                               makeTrace(0, 3, 4, 5, RunOutcome::Done)},
                               {},
                               {}})
                   .empty());
-  BOOST_TEST(!findViolations({{makeTrace(1, 1, 0, 1, RunEnd::Done)}, {}, {}}, 2)
-                  .empty());
-  BOOST_TEST(
-      !findViolations(
-           {{makeTrace(0, 1, 0, 9, RunEnd::Done)}, {{Job, Instant(5s)}}, {}})
-           .empty());
   BOOST_TEST(
-      !findViolations(
-           {{makeTrace(0, 1, 9, 10, RunEnd::Done)}, {}, {{Job, Instant(5s)}}})
+      !findViolations({{makeTrace(1, 1, 0, 1, RunOutcome::Done)}, {}, {}}, 2)
            .empty());
+  BOOST_TEST(!findViolations({{makeTrace(0, 1, 0, 9, RunOutcome::Done)},
+                              {{Job, Instant(5s)}},
+                              {}})
+                  .empty());
+  BOOST_TEST(!findViolations({{makeTrace(0, 1, 9, 10, RunOutcome::Done)},
+                              {},
+                              {{Job, Instant(5s)}}})
+                  .empty());
 }
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -8,7 +8,7 @@
 
 namespace balsamlatch::dispatch::test {
 
-using jobs::RunEnd;
+using jobs::RunOutcome;
 
 namespace {
 
@@ -131,13 +131,13 @@
   FinishedRuns[Order.Task] = std::max(FinishedRuns[Order.Task], Order.Run);
   const auto RunIt = Runs.find(Order.Task);
   if (RunIt != Runs.end() && RunIt->second.Number == Order.Run) {
-    end(Order.Task, RunIt->second, RunEnd::Stopped, Now, Observed);
+    end(Order.Task, RunIt->second, RunOutcome::Stopped, Now, Observed);
     Runs.erase(RunIt);
   }
   return OrderOutcome::Done;
 }
 
-void FakeWorker::end(const TaskRef &Task, const ActiveRun &Run, RunEnd End,
+void FakeWorker::end(const TaskRef &Task, const ActiveRun &Run, RunOutcome End,
                      Instant Now, History &Observed) {
   Observed.Runs[Run.TraceIndex].EndedAt = Now;
   Observed.Runs[Run.TraceIndex].End = End;
@@ -161,8 +161,8 @@
       ++RunIt;
       continue;
     }
-    const RunEnd OwnEnd = FailsAll ? RunEnd::Failed : RunEnd::Done;
-    end(RunIt->first, Run, HasEnded ? OwnEnd : RunEnd::Lost, Now, Observed);
+    const RunOutcome OwnEnd = FailsAll ? RunOutcome::Failed : RunOutcome::Done;
+    end(RunIt->first, Run, HasEnded ? OwnEnd : RunOutcome::Lost, Now, Observed);
     RunIt = Runs.erase(RunIt);
   }
 }
@@ -170,7 +170,7 @@
 void FakeWorker::crash(Instant Now, History &Observed) {
   for (const auto &[Task, Run] : Runs) {
     Observed.Runs[Run.TraceIndex].EndedAt = Now;
-    Observed.Runs[Run.TraceIndex].End = RunEnd::Lost;
+    Observed.Runs[Run.TraceIndex].End = RunOutcome::Lost;
   }
   Runs.clear();
   FinishedRuns.clear();
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -21,7 +21,7 @@
   std::string Worker;
   Instant StartedAt{};
   Instant EndedAt = Instant::max();
-  jobs::RunEnd End = jobs::RunEnd::Lost;
+  jobs::RunOutcome End = jobs::RunOutcome::Lost;
   /// The worker was told that the end is recorded.
   bool EndAcknowledged = false;
   /// The leases of the worker expired before the end was acknowledged, so the
@@ -86,7 +86,7 @@
   WorkerClock clock(Instant Now) const {
     return std::chrono::duration_cast<WorkerClock>(Now - BootedAt);
   }
-  void end(const TaskRef &Task, const ActiveRun &Run, jobs::RunEnd End,
+  void end(const TaskRef &Task, const ActiveRun &Run, jobs::RunOutcome End,
            Instant Now, History &Observed);
 
   Instant BootedAt{};
