--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -95,8 +95,8 @@
       processLateEnd(EndedRun);
       continue;
     }
-    updateWorkerHealth(Worker, EndedRun.Task, EndedRun.How);
-    proposeEnd(Worker, EndedRun.Task, RunIt->second, EndedRun.How,
+    updateWorkerHealth(Worker, EndedRun.Task, EndedRun.Outcome);
+    proposeEnd(Worker, EndedRun.Task, RunIt->second, EndedRun.Outcome,
                EndedRun.Checkpoint);
   }
 }
@@ -105,7 +105,7 @@
   const jobs::Job *Job = Table->find(EndedRun.Task.Job);
   const jobs::TaskRecord *Task =
       Job == nullptr ? nullptr : Job->find(EndedRun.Task);
-  if (EndedRun.How != RunOutcome::Done || Task == nullptr ||
+  if (EndedRun.Outcome != RunOutcome::Done || Task == nullptr ||
       Task->Phase == jobs::TaskPhase::Done || Task->Run != EndedRun.Run ||
       Job->spec().Steps[EndedRun.Task.Step].Lasting ||
       isProposed(EndedRun.Task)) {
@@ -113,8 +113,8 @@
   }
   // The run was declared lost, but it had completed and its task has not run
   // again since.
-  Events.emplace_back(jobs::TaskEnded{EndedRun.Task, EndedRun.Run, EndedRun.How,
-                                      EndedRun.Checkpoint});
+  Events.emplace_back(jobs::TaskEnded{EndedRun.Task, EndedRun.Run,
+                                      EndedRun.Outcome, EndedRun.Checkpoint});
 }
 
 void Dispatcher::updateWorkerHealth(WorkerState &Worker, const TaskRef &Task,
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -91,7 +91,7 @@
   std::uint64_t Number = 0;
   TaskRef Task;
   std::uint32_t Run = 0;
-  jobs::RunOutcome How = jobs::RunOutcome::Lost;
+  jobs::RunOutcome Outcome = jobs::RunOutcome::Lost;
   std::string Checkpoint;
 
   auto operator<=>(const EndedTask &) const = default;
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -265,10 +265,10 @@
       ParentJob->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step];
   saveCheckpoint(Step, Members, *Task, Event.Checkpoint);
   Task->Worker = WorkerInstance();
-  const bool IsTaskDone = Event.How == RunOutcome::Done && !Step.Lasting;
+  const bool IsTaskDone = Event.Outcome == RunOutcome::Done && !Step.Lasting;
   Task->Phase = IsTaskDone ? TaskPhase::Done : TaskPhase::Waiting;
   ParentJob->OpenTasks -= IsTaskDone ? 1 : 0;
-  if (Event.How == RunOutcome::Failed && !Step.Lasting) {
+  if (Event.Outcome == RunOutcome::Failed && !Step.Lasting) {
     countFailure(Step, Members, *Task);
   }
   if (Step.Gang && IsTaskDone) {
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -231,7 +231,7 @@
   }
   json::array operator()(const TaskEnded &Event) const {
     json::array Fields = taskEventArray("e", Event.Task, Event.Run);
-    Fields.emplace_back(static_cast<int>(Event.How));
+    Fields.emplace_back(static_cast<int>(Event.Outcome));
     Fields.emplace_back(Event.Checkpoint);
     return Fields;
   }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -94,7 +94,7 @@
 struct TaskEnded {
   TaskRef Task;
   std::uint32_t Run = 0;
-  RunOutcome How = RunOutcome::Lost;
+  RunOutcome Outcome = RunOutcome::Lost;
   /// The newest checkpoint; empty for none.
   std::string Checkpoint;
 
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -130,8 +130,8 @@
   BOOST_TEST(Report->Running.size() == 1);
   BOOST_TEST(Report->Running[0].Task.Index == 17);
   BOOST_TEST(Report->Running[0].Gauge == 7);
-  BOOST_TEST((Report->Ended[0].How == jobs::RunOutcome::Done));
-  BOOST_TEST((Report->Ended[1].How == jobs::RunOutcome::Lost));
+  BOOST_TEST((Report->Ended[0].Outcome == jobs::RunOutcome::Done));
+  BOOST_TEST((Report->Ended[1].Outcome == jobs::RunOutcome::Lost));
   BOOST_TEST(!decodeHoldReport("{\"running_tasks\":[[1]]}").ok());
 }
 
