--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -31,7 +31,7 @@
     return "stopped";
   case RunOutcome::Lost:
     return "lost";
-  case RunOutcome::GangBroken:
+  case RunOutcome::GangAborted:
     return "gang-broken";
   case RunOutcome::Refused:
     return "refused";
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -56,7 +56,7 @@
   /// The worker's lease expired, or the worker process ended.
   Lost,
   /// Another member of the gang ended or did not start.
-  GangBroken,
+  GangAborted,
   /// The worker refused the start order; nothing ran.
   Refused,
 };
