--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -57,7 +57,7 @@
   for (const auto &[Id, Job] : Table->jobs()) {
     if (!Job.open() && Job.PlacedTasks == 0 &&
         Job.Record.ClosedAt < RetainedSince) {
-      Events.emplace_back(jobs::JobForgotten{Id});
+      Events.emplace_back(jobs::JobRemoved{Id});
     }
   }
 }
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -102,7 +102,7 @@
       return E.Task.Job;
     }
     const JobId &operator()(const JobClosed &E) const { return E.Job; }
-    const JobId &operator()(const JobForgotten &E) const { return E.Job; }
+    const JobId &operator()(const JobRemoved &E) const { return E.Job; }
     const JobId &operator()(const JobSnapshot &E) const {
       return E.Accepted.Job;
     }
@@ -300,8 +300,7 @@
   ClosedJob->Record.ClosedAt = Event.At;
 }
 
-void JobTable::applyEvent(const JobForgotten &Event,
-                          std::uint64_t /*Sequence*/) {
+void JobTable::applyEvent(const JobRemoved &Event, std::uint64_t /*Sequence*/) {
   JobsById.erase(Event.Job);
 }
 
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -244,7 +244,7 @@
     return {"z", json::string(Event.Job.Text), static_cast<int>(Event.State),
             Event.At.time_since_epoch().count()};
   }
-  json::array operator()(const JobForgotten &Event) const {
+  json::array operator()(const JobRemoved &Event) const {
     return {"f", json::string(Event.Job.Text)};
   }
   json::array operator()(const JobSnapshot &Event) const {
@@ -282,7 +282,7 @@
     return Event;
   }
   if (Kind == "f") {
-    return JobForgotten{JobId(Reader.text())};
+    return JobRemoved{JobId(Reader.text())};
   }
   if (Kind == "s") {
     return readSnapshot(Reader);
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -120,10 +120,10 @@
 };
 
 /// The job was removed because its retention time ended.
-struct JobForgotten {
+struct JobRemoved {
   JobId Job;
 
-  auto operator<=>(const JobForgotten &) const = default;
+  auto operator<=>(const JobRemoved &) const = default;
 };
 
 enum class TaskPhase { Waiting, Placed, Done };
@@ -164,7 +164,7 @@
 
 using JobEvent =
     std::variant<JobAccepted, TaskPlaced, TaskEnded, CheckpointSaved, JobClosed,
-                 JobForgotten, JobSnapshot>;
+                 JobRemoved, JobSnapshot>;
 
 /// The ID of the job that an event belongs to.
 const JobId &jobOf(const JobEvent &Event);
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -69,7 +69,7 @@
   void applyEvent(const TaskEnded &Event, std::uint64_t Sequence);
   void applyEvent(const CheckpointSaved &Event, std::uint64_t Sequence);
   void applyEvent(const JobClosed &Event, std::uint64_t Sequence);
-  void applyEvent(const JobForgotten &Event, std::uint64_t Sequence);
+  void applyEvent(const JobRemoved &Event, std::uint64_t Sequence);
   void applyEvent(const JobSnapshot &Event, std::uint64_t Sequence);
 
   Job *findMutable(const JobId &Id);
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -484,7 +484,7 @@
       TaskEnded{Task, 4, RunOutcome::Failed, "c"},
       CheckpointSaved{Task, 4, "d"},
       JobClosed{JobId("j"), JobState::Failed, WallTime(7s)},
-      JobForgotten{JobId("j")},
+      JobRemoved{JobId("j")},
       Snapshot};
   const auto Decoded = decodeEvents(encodeEvents(Events));
   BOOST_REQUIRE(Decoded.ok());
