--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -333,7 +333,7 @@
   }
   Log.write(LogLevel::Info, "run-ended",
             {{"job", Task.Job.Text},
-             {"task", placeOf(Task)},
+             {"task", taskPath(Task)},
              {"run", Run.Number},
              {"worker", Worker.Record.Instance.Id},
              {"how", runEndName(End)}});
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -170,7 +170,7 @@
   Run.Phase = RunPhase::Ordered;
   Log.write(LogLevel::Info, "run-ordered",
             {{"job", Task.Job.Text},
-             {"task", placeOf(Task)},
+             {"task", taskPath(Task)},
              {"run", Run.Number},
              {"worker", Worker.Record.Instance.Id},
              {"used_cpu_milli", Worker.ClaimedResources.CpuMilli},
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -89,7 +89,7 @@
 
 } // namespace
 
-std::string placeOf(const TaskRef &Task) {
+std::string taskPath(const TaskRef &Task) {
   return fmt::format("{}.{}.{}", Task.Occurrence, Task.Step, Task.Index);
 }
 
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -34,7 +34,7 @@
 };
 
 /// The position of a task in its job as text: OCCURRENCE.STEP.INDEX.
-std::string placeOf(const TaskRef &Task);
+std::string taskPath(const TaskRef &Task);
 
 /// One instance of a worker process. A restart under the same ID is another
 /// instance.
