--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -93,7 +93,7 @@
   return fmt::format("{}.{}.{}", Task.Occurrence, Task.Step, Task.Index);
 }
 
-const JobId &jobOf(const JobEvent &Event) {
+const JobId &eventJobId(const JobEvent &Event) {
   struct Visitor {
     const JobId &operator()(const JobAccepted &E) const { return E.Job; }
     const JobId &operator()(const TaskPlaced &E) const { return E.Task.Job; }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -167,7 +167,7 @@
                  JobRemoved, JobSnapshot>;
 
 /// The ID of the job that an event belongs to.
-const JobId &jobOf(const JobEvent &Event);
+const JobId &eventJobId(const JobEvent &Event);
 
 } // namespace balsamlatch::jobs
 
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -291,7 +291,7 @@
     ++Sequence;
     for (const jobs::JobEvent &Event : Events) {
       Table.apply(Event, Sequence);
-      const jobs::Job *Job = Table.find(jobs::jobOf(Event));
+      const jobs::Job *Job = Table.find(jobs::eventJobId(Event));
       if (std::holds_alternative<jobs::JobClosed>(Event) && Job != nullptr) {
         auto &ClosedAt = Job->Record.State == jobs::JobState::Completed
                              ? Observed.CompletedAt
