--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -175,7 +175,7 @@
   std::size_t Snapshots = 0;
   std::size_t Summaries = 0;
   for (const auto &[Id, Job] : Table->jobs()) {
-    if (Job.FirstRecord >= RewriteBefore) {
+    if (Job.FirstSequence >= RewriteBefore) {
       continue;
     }
     std::size_t &Count = Job.settled() ? Summaries : Snapshots;
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -214,7 +214,7 @@
 std::uint64_t JobTable::oldestNeeded(std::uint64_t NextSequence) const {
   std::uint64_t OldestSequence = NextSequence;
   for (const auto &[Id, KnownJob] : JobsById) {
-    OldestSequence = std::min(OldestSequence, KnownJob.FirstRecord);
+    OldestSequence = std::min(OldestSequence, KnownJob.FirstSequence);
   }
   return OldestSequence;
 }
@@ -225,7 +225,7 @@
   }
   Job &NewJob = JobsById[Event.Job];
   NewJob.Record.Accepted = Event;
-  NewJob.FirstRecord = Sequence;
+  NewJob.FirstSequence = Sequence;
   NewJob.OpenTasks = countTasks(Event.Spec);
   adjustPendingCount(NewJob, 1);
 }
@@ -311,7 +311,7 @@
   Job &RestoredJob = JobsById[Event.Accepted.Job];
   RestoredJob = Job();
   RestoredJob.Record = Event;
-  RestoredJob.FirstRecord = Sequence;
+  RestoredJob.FirstSequence = Sequence;
   RestoredJob.OpenTasks = countTasks(Event.Accepted.Spec);
   for (const auto &[OccurrenceIndex, Steps] : Event.Occurrences) {
     for (const StepRecord &Step : Steps) {
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -18,7 +18,7 @@
   JobSnapshot Record;
   /// Sequence number of the oldest journal record that is needed to rebuild the
   /// job.
-  std::uint64_t FirstRecord = 0;
+  std::uint64_t FirstSequence = 0;
   /// Invariant: number of tasks over all occurrences that are not Done.
   std::uint64_t OpenTasks = 0;
   /// Invariant: number of tasks that are Placed.
