--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -162,7 +162,8 @@
 }
 
 void Holder::compactJournal() {
-  JobJournal.truncateBefore(Table->oldestNeeded(JobJournal.nextNumber()));
+  JobJournal.truncateBefore(
+      Table->firstRequiredSequence(JobJournal.nextNumber()));
   if (JobJournal.nextNumber() - JobJournal.oldestNumber() <
           CompactionThreshold ||
       JobJournal.appendInFlight()) {
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -211,7 +211,8 @@
   return It == PendingCounts.end() ? 0 : It->second;
 }
 
-std::uint64_t JobTable::oldestNeeded(std::uint64_t NextSequence) const {
+std::uint64_t
+JobTable::firstRequiredSequence(std::uint64_t NextSequence) const {
   std::uint64_t OldestSequence = NextSequence;
   for (const auto &[Id, KnownJob] : JobsById) {
     OldestSequence = std::min(OldestSequence, KnownJob.FirstSequence);
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -61,7 +61,7 @@
 
   /// Sequence number of the oldest journal record that any job needs; records
   /// before it can be deleted. \p NextSequence if there is no job.
-  std::uint64_t oldestNeeded(std::uint64_t NextSequence) const;
+  std::uint64_t firstRequiredSequence(std::uint64_t NextSequence) const;
 
 private:
   void applyEvent(const JobAccepted &Event, std::uint64_t Sequence);
