--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -299,7 +299,7 @@
   } else {
     const Queue *JobQueue =
         Config == nullptr ? nullptr : Config->find(Job->Record.Accepted.Queue);
-    if (JobQueue == nullptr || Job->worstFailures() < JobQueue->MaxAttempts) {
+    if (JobQueue == nullptr || Job->maxFailures() < JobQueue->MaxAttempts) {
       return;
     }
     State = jobs::JobState::Failed;
@@ -310,7 +310,7 @@
       LogLevel::Info, "job-closed",
       {{"job", Id.Text},
        {"state", State == jobs::JobState::Completed ? "completed" : "failed"},
-       {"failures", Job->worstFailures()}});
+       {"failures", Job->maxFailures()}});
 }
 
 void Dispatcher::releaseClaim(WorkerState &Worker, RunState &Run) {
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -155,7 +155,7 @@
   return Summary;
 }
 
-std::uint32_t Job::worstFailures() const {
+std::uint32_t Job::maxFailures() const {
   std::uint32_t MaxFailures = 0;
   for (const auto &[OccurrenceIndex, Steps] : Record.Occurrences) {
     for (std::size_t StepIndex = 0; StepIndex < Steps.size(); ++StepIndex) {
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -42,7 +42,7 @@
   /// no records yet.
   const TaskRecord *find(const TaskRef &Task) const;
   /// The largest failure count of any task; the members of a gang are summed.
-  std::uint32_t worstFailures() const;
+  std::uint32_t maxFailures() const;
 };
 
 /// All jobs by ID.
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -412,7 +412,7 @@
             {JobId("g"), 0, 0, Index}, 1, jobs::RunOutcome::Failed, ""},
         2);
   }
-  BOOST_TEST(Table.find(JobId("g"))->worstFailures() == 1);
+  BOOST_TEST(Table.find(JobId("g"))->maxFailures() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(AGangSharesItsNewestCheckpoint) {
