--- a/Source/Dispatch/JobRank.cpp
+++ b/Source/Dispatch/JobRank.cpp
@@ -80,7 +80,7 @@
   }
   const Duration Age = Now - Result.DueAt;
   const auto Objective = std::chrono::duration_cast<Duration>(
-      estimatedChain(Job.spec()) * JobQueue.Stretch +
+      estimatedCriticalPath(Job.spec()) * JobQueue.Stretch +
       JobQueue.LatencyObjective);
   if (Age + WorkLeft.CriticalPath <= Objective) {
     Result.JobClass = Rank::OnTime;
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -76,7 +76,7 @@
   return absl::OkStatus();
 }
 
-Duration estimatedChain(const JobSpec &Spec) {
+Duration estimatedCriticalPath(const JobSpec &Spec) {
   std::vector<Duration> StepEnds(Spec.Steps.size());
   Duration LongestPath{};
   for (std::size_t StepIndex = 0; StepIndex < Spec.Steps.size(); ++StepIndex) {
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -119,7 +119,7 @@
 
 /// The estimated length of the critical path: the longest chain of dependent
 /// steps.
-Duration estimatedChain(const JobSpec &Spec);
+Duration estimatedCriticalPath(const JobSpec &Spec);
 
 } // namespace balsamlatch::jobs
 
