--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -106,7 +106,7 @@
     std::vector<WaitingStep> &Candidates) const {
   const WallTime Now = Time.wallNow();
   const auto MeanIt = MeanWorkByQueue.find(JobQueue.Name);
-  for (unsigned Occurrence = 0; Occurrence < ParentJob.spec().occurrences();
+  for (unsigned Occurrence = 0; Occurrence < ParentJob.spec().occurrenceCount();
        ++Occurrence) {
     if (ParentJob.spec().Times.Repeats > 0 &&
         ParentJob.dueAt(Occurrence) > Now) {
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -29,7 +29,7 @@
   for (const StepSpec &Step : Spec.Steps) {
     Count += Step.Count;
   }
-  return Count * Spec.occurrences();
+  return Count * Spec.occurrenceCount();
 }
 
 /// Marks every task of a gang as done: the gang is done when one member is.
@@ -186,7 +186,7 @@
 TaskRecord *JobTable::findTask(Job &ParentJob, const TaskRef &Task) {
   auto It = ParentJob.Record.Occurrences.find(Task.Occurrence);
   if (It == ParentJob.Record.Occurrences.end()) {
-    if (Task.Occurrence >= ParentJob.spec().occurrences()) {
+    if (Task.Occurrence >= ParentJob.spec().occurrenceCount()) {
       return nullptr;
     }
     It = ParentJob.Record.Occurrences
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -104,7 +104,7 @@
   Schedule Times;
 
   /// How many times the steps run.
-  unsigned occurrences() const {
+  unsigned occurrenceCount() const {
     return Times.Repeats == 0 ? 1 : Times.Repeats;
   }
   /// Whether any step is lasting.
