--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -109,7 +109,7 @@
   for (unsigned Occurrence = 0; Occurrence < ParentJob.spec().occurrenceCount();
        ++Occurrence) {
     if (ParentJob.spec().Times.Repeats > 0 &&
-        ParentJob.dueAt(Occurrence) > Now) {
+        ParentJob.dueTime(Occurrence) > Now) {
       break;
     }
     const auto OccurrenceIt = ParentJob.Record.Occurrences.find(Occurrence);
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -64,7 +64,7 @@
     const bool IsNew = Now - Job.Record.Accepted.At < ArrivalWindow;
     const std::int64_t Weight = IsNew ? 1 + ExpectedArrivalsPerJob : 1;
     for (unsigned Occurrence = 0; Occurrence < Job.spec().occurrenceCount() &&
-                                  Job.dueAt(Occurrence) <= Now + DueLookahead;
+                                  Job.dueTime(Occurrence) <= Now + DueLookahead;
          ++Occurrence) {
       for (unsigned Step = 0; Step < Job.spec().Steps.size(); ++Step) {
         addDemand(Job, Occurrence, Step, Weight, Demand);
--- a/Source/Dispatch/JobRank.cpp
+++ b/Source/Dispatch/JobRank.cpp
@@ -67,7 +67,7 @@
 Rank computeRank(const jobs::Job &Job, unsigned Occurrence,
                  const Queue &JobQueue, double MeanWork, WallTime Now) {
   Rank Result;
-  Result.DueAt = Job.dueAt(Occurrence);
+  Result.DueAt = Job.dueTime(Occurrence);
   const RemainingWork WorkLeft = remainingWork(Job, Occurrence);
   const double TotalWork = estimatedWork(Job.spec());
   const double JobValue =
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -126,7 +126,7 @@
       });
 }
 
-WallTime Job::dueAt(unsigned Occurrence) const {
+WallTime Job::dueTime(unsigned Occurrence) const {
   const Schedule &Times = spec().Times;
   return Times.Repeats == 0 ? Record.Accepted.At
                             : Times.First + Times.Interval * Occurrence;
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -37,7 +37,7 @@
   bool ready(unsigned Occurrence, unsigned Step) const;
   /// The time at which an occurrence may start: its time in the schedule, or
   /// the acceptance time of a job without a schedule.
-  WallTime dueAt(unsigned Occurrence) const;
+  WallTime dueTime(unsigned Occurrence) const;
   /// The state of a task; null if it is out of range or if its occurrence has
   /// no records yet.
   const TaskRecord *find(const TaskRef &Task) const;
