--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -172,7 +172,7 @@
   for (const auto &[Id, Record] : Records) {
     WorkerState &Worker = Workers[Id];
     if (Record.Instance.Incarnation < Worker.Record.Instance.Incarnation) {
-      continue; // the worker has already reported a later life
+      continue; // the worker has already reported a later incarnation
     }
     if (Record.Instance.Incarnation > Worker.Record.Instance.Incarnation) {
       setWorkerInstance(Worker, Record.Instance.Incarnation);
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -54,7 +54,7 @@
   }
   if (Report.Incarnation != 0 &&
       Report.Incarnation < Worker.Record.Instance.Incarnation) {
-    Worker.NextHoldAt = Now; // the reply is from an earlier life
+    Worker.NextHoldAt = Now; // the reply is from an earlier incarnation
     return;
   }
   if (Report.Incarnation > Worker.Record.Instance.Incarnation) {
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -119,7 +119,7 @@
   void handleHostGone(const std::string &WorkerId);
 
 private:
-  /// Null if the worker is unknown or in another life.
+  /// Null if the worker is unknown or in another incarnation.
   WorkerState *findWorker(const WorkerInstance &Instance);
   /// Null if the task has no run with this number on the worker.
   RunState *findRun(const std::string &WorkerId, const TaskRef &Task,
@@ -151,7 +151,8 @@
   void closeIfDone(const JobId &Id);
   /// Declares all runs on the worker lost.
   void endAllAsLost(WorkerState &Worker, std::string_view Reason);
-  /// Switches to another life of the worker; runs of earlier lives are lost.
+  /// Switches to another incarnation of the worker; runs of earlier ones are
+  /// lost.
   void setWorkerInstance(WorkerState &Worker, std::int64_t Incarnation);
   void processEndedRuns(WorkerState &Worker, const HoldReport &Report);
   /// Handles the end of a run that is no longer tracked, such as one that was
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -87,7 +87,7 @@
 
 /// A run that has ended on the worker.
 struct EndedTask {
-  /// Sequence number of the end within one life of the worker, from 1.
+  /// Sequence number of the end within one incarnation of the worker, from 1.
   std::uint64_t Number = 0;
   TaskRef Task;
   std::uint32_t Run = 0;
@@ -100,7 +100,7 @@
 /// A worker's reply to a hold.
 struct HoldReport {
   WorkerClock Clock{};
-  /// Identifies the life of the worker; each restart raises it.
+  /// Identifies the incarnation of the worker; each restart raises it.
   std::int64_t Incarnation = 0;
   std::vector<RunningTask> Running;
   std::vector<EndedTask> Ended;
@@ -122,7 +122,7 @@
   OldRun,
   /// The placement policy's permit is not valid.
   NoPermit,
-  /// Another worker, or another life of the worker, has the address.
+  /// Another worker, or another incarnation of the worker, has the address.
   OtherWorker,
   /// The worker can't take orders now.
   Unhealthy,
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Permits.h
@@ -75,7 +75,7 @@
 private:
   struct Decision {
     std::int64_t Incarnation = 0;
-    // Empty if the worker may not run the step, in any of its lives.
+    // Empty if the worker may not run the step, in any incarnation.
     std::string Ticket;
     Instant ValidUntil{};
   };
--- a/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
@@ -30,7 +30,7 @@
 struct RunState {
   std::uint32_t Number = 0;
   RunPhase Phase = RunPhase::Proposed;
-  /// The Born value of the life of the worker that the run was placed on.
+  /// Incarnation of the worker that the run was placed on.
   std::int64_t WorkerIncarnation = 0;
   Resources Claim;
   bool Lasting = false;
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -238,7 +238,7 @@
       FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1];
   EndedWorker.crash(Sim.Time.now(), Sim.Observed);
   EndedWorker.Record.Instance.Incarnation -=
-      1000; // the registration is still from the earlier life
+      1000; // the registration is still from the earlier incarnation
   EndedWorker.IsDown = true;
   Sim.startNewTerm();
   Sim.run(1s);
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -359,7 +359,7 @@
 
 void Simulation::deliver(const WorkerOrder &Order, std::uint64_t SenderTerm,
                          std::int64_t IntendedIncarnation, bool SendsReply) {
-  // A later life of the worker refuses orders for an earlier one.
+  // A later incarnation of the worker refuses orders for an earlier one.
   const auto IsReachable = [&](const FakeWorker &Worker,
                                OrderOutcome &Outcome) {
     Outcome = Worker.Record.Instance.Incarnation == IntendedIncarnation
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -70,7 +70,7 @@
   /// Paces of the runs whose SpecText is "filler".
   std::map<TaskRef, unsigned> Paces;
   void advance(Instant Now, History &Observed);
-  /// Loses all runs and state, and starts a new life of the worker.
+  /// Loses all runs and state, and starts a new incarnation of the worker.
   void crash(Instant Now, History &Observed);
 
 private:
