--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -179,8 +179,8 @@
     if (Job.FirstSequence >= RewriteBefore) {
       continue;
     }
-    std::size_t &Count = Job.settled() ? Summaries : Snapshots;
-    if (Count < (Job.settled() ? MaxSummariesPerPass : MaxSnapshotsPerPass)) {
+    std::size_t &Count = Job.isSettled() ? Summaries : Snapshots;
+    if (Count < (Job.isSettled() ? MaxSummariesPerPass : MaxSnapshotsPerPass)) {
       PendingEvents.emplace_back(Job.snapshot());
       ++Count;
     }
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -142,7 +142,7 @@
 }
 
 JobSnapshot Job::snapshot() const {
-  if (!settled()) {
+  if (!isSettled()) {
     return Record;
   }
   JobSnapshot Summary;
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -28,7 +28,7 @@
   const JobId &id() const { return Record.Accepted.Job; }
   bool open() const { return !isFinal(Record.State); }
   /// Whether the state is final and no task can still run.
-  bool settled() const { return !open() && PlacedTasks == 0; }
+  bool isSettled() const { return !open() && PlacedTasks == 0; }
   /// A snapshot that replaces the job's earlier journal records. The snapshot
   /// of a settled job holds only its identity and state.
   JobSnapshot snapshot() const;
