--- a/Source/Control/HolderRequests.cpp
+++ b/Source/Control/HolderRequests.cpp
@@ -69,7 +69,7 @@
     Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
     return;
   }
-  if (ExistingJob != nullptr && !ExistingJob->open()) {
+  if (ExistingJob != nullptr && !ExistingJob->isOpen()) {
     Callback({JobReply::Done});
     return;
   }
@@ -114,7 +114,7 @@
   }
   for (auto It = PendingCancels.begin(); It != PendingCancels.end();) {
     const jobs::Job *ExistingJob = Table->find(It->first);
-    if (ExistingJob != nullptr && ExistingJob->open()) {
+    if (ExistingJob != nullptr && ExistingJob->isOpen()) {
       ++It;
       continue;
     }
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -68,7 +68,7 @@
   for (const auto &[Id, Job] : Jobs.jobs()) {
     adoptPlacedRuns(Job);
     updateMeanWork(Job);
-    if (Job.open()) {
+    if (Job.isOpen()) {
       OpenJobs.insert(Id);
     }
   }
@@ -134,7 +134,7 @@
           Run.Pace.reset();
           Worker.TargetPace = {AdoptedPacePercent, TermStart};
         }
-        Run.StopRequested = !Job.open();
+        Run.StopRequested = !Job.isOpen();
         Worker.ClaimedResources += Run.Claim;
         Worker.Runs[{Job.id(), Occurrence, Step, Index}] = Run;
         Worker.LeasesExpireAt = TermStart + Settings.StorelessRenewal;
@@ -254,7 +254,7 @@
   WorkerState &Worker = Workers.at(Event.Worker.Id);
   const jobs::Job *Job = Table->find(Event.Task.Job);
   const bool IsStillWanted =
-      Job != nullptr && Job->open() && !Run->StopRequested;
+      Job != nullptr && Job->isOpen() && !Run->StopRequested;
   // The worker may have restarted while the event was being written.
   if (!IsStillWanted || Worker.Record.Instance != Event.Worker) {
     proposeEnd(Worker, Event.Task, *Run, RunOutcome::Refused, {});
@@ -290,7 +290,7 @@
 
 void Dispatcher::closeIfDone(const JobId &Id) {
   const jobs::Job *Job = Table->find(Id);
-  if (Job == nullptr || !Job->open() || ClosingJobs.contains(Id)) {
+  if (Job == nullptr || !Job->isOpen() || ClosingJobs.contains(Id)) {
     return;
   }
   jobs::JobState State = jobs::JobState::Running;
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -55,7 +55,7 @@
 void Dispatcher::forgetClosedJobs() {
   const WallTime RetainedSince = Time.wallNow() - Settings.StatusRetention;
   for (const auto &[Id, Job] : Table->jobs()) {
-    if (!Job.open() && Job.PlacedTasks == 0 &&
+    if (!Job.isOpen() && Job.PlacedTasks == 0 &&
         Job.Record.ClosedAt < RetainedSince) {
       Events.emplace_back(jobs::JobRemoved{Id});
     }
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -140,7 +140,7 @@
   std::vector<WaitingStep> Candidates;
   for (const JobId &Id : OpenJobs) {
     const Job *ParentJob = Table->find(Id);
-    if (ParentJob == nullptr || !ParentJob->open() ||
+    if (ParentJob == nullptr || !ParentJob->isOpen() ||
         ClosingJobs.contains(Id)) {
       continue;
     }
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -330,7 +330,7 @@
   const jobs::Job *Job = Table->find(Query.Step.Job);
   if (!Reply) {
     NextQueryAt = Time.now() + QueryRetryDelay;
-  } else if (Job != nullptr && Job->open()) {
+  } else if (Job != nullptr && Job->isOpen()) {
     Permits.store(Query, *Reply, AskedAt);
   }
   Log.write(LogLevel::Info, "permits-asked",
--- a/Source/Dispatch/HostKeeper.cpp
+++ b/Source/Dispatch/HostKeeper.cpp
@@ -76,7 +76,7 @@
                                       const jobs::JobTable &Jobs) {
   for (const auto &[Task, Run] : Worker.Runs) {
     const jobs::Job *Job = Jobs.find(Task.Job);
-    if (Job == nullptr || !Job->open() || !Run.Lasting || !isAtWork(Run)) {
+    if (Job == nullptr || !Job->isOpen() || !Run.Lasting || !isAtWork(Run)) {
       continue;
     }
     const unsigned MaxUnavailable = Job->spec().Steps[Task.Step].MaxUnavailable;
@@ -95,7 +95,7 @@
   std::map<StepRef, unsigned> InterruptedByStep;
   for (const auto &[Task, Run] : Worker.Runs) {
     const jobs::Job *Job = Jobs.find(Task.Job);
-    if (Job != nullptr && Job->open() && Run.Lasting && mayBeAtWork(Run) &&
+    if (Job != nullptr && Job->isOpen() && Run.Lasting && mayBeAtWork(Run) &&
         Job->spec().Steps[Task.Step].MaxUnavailable > 0) {
       InterruptedByStep[stepOf(Task)] += isAtWork(Run) ? 1 : 0;
     }
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -54,7 +54,7 @@
                                                 WallTime Now) {
   std::map<PoolName, PoolDemand> DemandByPool;
   for (const auto &[Id, Job] : Jobs.jobs()) {
-    if (!Job.open()) {
+    if (!Job.isOpen()) {
       continue;
     }
     const Queue *JobQueue = Config.find(Job.Record.Accepted.Queue);
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 bool isPending(const Job &Candidate) {
-  return Candidate.open() && !Candidate.Record.EverPlaced &&
+  return Candidate.isOpen() && !Candidate.Record.EverPlaced &&
          Candidate.spec().Times.Repeats == 0;
 }
 
@@ -241,7 +241,7 @@
   }
   adjustPendingCount(*ParentJob, -1);
   ParentJob->Record.EverPlaced = true;
-  if (ParentJob->open()) {
+  if (ParentJob->isOpen()) {
     ParentJob->Record.State = JobState::Running;
   }
   ParentJob->PlacedTasks += Task->Phase == TaskPhase::Placed ? 0 : 1;
@@ -293,7 +293,7 @@
 
 void JobTable::applyEvent(const JobClosed &Event, std::uint64_t /*Sequence*/) {
   Job *ClosedJob = findMutable(Event.Job);
-  if (ClosedJob == nullptr || !ClosedJob->open()) {
+  if (ClosedJob == nullptr || !ClosedJob->isOpen()) {
     return;
   }
   adjustPendingCount(*ClosedJob, -1);
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -26,9 +26,9 @@
 
   const JobSpec &spec() const { return Record.Accepted.Spec; }
   const JobId &id() const { return Record.Accepted.Job; }
-  bool open() const { return !isFinal(Record.State); }
+  bool isOpen() const { return !isFinal(Record.State); }
   /// Whether the state is final and no task can still run.
-  bool isSettled() const { return !open() && PlacedTasks == 0; }
+  bool isSettled() const { return !isOpen() && PlacedTasks == 0; }
   /// A snapshot that replaces the job's earlier journal records. The snapshot
   /// of a settled job holds only its identity and state.
   JobSnapshot snapshot() const;
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -50,7 +50,7 @@
   Sim.Workers[1].RunDuration = 900ms;
   Sim.submit("a", simpleJob(8));
   Sim.run(600ms);
-  BOOST_TEST(Sim.job("a").open());
+  BOOST_TEST(Sim.job("a").isOpen());
   Sim.run(2s);
   BOOST_TEST(joinLines(Sim.violations()) == "");
   BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
@@ -373,7 +373,7 @@
   Sim.Workers[1].RunDuration = 405ms;
   Sim.submit("a", gangJob(8, 2));
   Sim.run(600ms);
-  BOOST_TEST(Sim.job("a").open());
+  BOOST_TEST(Sim.job("a").isOpen());
   Sim.run(2s);
   BOOST_TEST((Sim.job("a").Record.State == jobs::JobState::Completed));
   BOOST_TEST(Sim.countStarts("a") == 16);
--- a/Tests/Dispatch/HistoryTest.cpp
+++ b/Tests/Dispatch/HistoryTest.cpp
@@ -81,7 +81,7 @@
     BOOST_ERROR("seed " << Seed << ": " << Violation);
   }
   for (const auto &[Id, Job] : Sim.Table.jobs()) {
-    BOOST_TEST((!Job.open() || Job.spec().lasting()),
+    BOOST_TEST((!Job.isOpen() || Job.spec().lasting()),
                "seed " << Seed << ": " << Id.Text << " never ends");
   }
 }
