--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -122,7 +122,7 @@
                       [](const TaskRecord &Task) {
                         return Task.Phase == TaskPhase::Waiting;
                       });
-      if (!HasWaitingTask || !ParentJob.ready(Occurrence, Step)) {
+      if (!HasWaitingTask || !ParentJob.isReady(Occurrence, Step)) {
         continue;
       }
       if (!JobRank) {
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -32,7 +32,7 @@
         Demand.LastingHosts, (Spec.Count + TasksPerHost - 1) / TasksPerHost);
     return;
   }
-  if (!Job.ready(Occurrence, Step)) {
+  if (!Job.isReady(Occurrence, Step)) {
     return;
   }
   const auto OccurrenceIt = Job.Record.Occurrences.find(Occurrence);
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -110,7 +110,7 @@
   return std::visit(Visitor{}, Event);
 }
 
-bool Job::ready(unsigned Occurrence, unsigned Step) const {
+bool Job::isReady(unsigned Occurrence, unsigned Step) const {
   const auto It = Record.Occurrences.find(Occurrence);
   const auto &Dependencies = spec().Steps[Step].After;
   if (It == Record.Occurrences.end()) {
--- a/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobTable.h
@@ -34,7 +34,7 @@
   JobSnapshot snapshot() const;
 
   /// Whether all steps that \p Step depends on are done.
-  bool ready(unsigned Occurrence, unsigned Step) const;
+  bool isReady(unsigned Occurrence, unsigned Step) const;
   /// The time at which an occurrence may start: its time in the schedule, or
   /// the acceptance time of a job without a schedule.
   WallTime dueTime(unsigned Occurrence) const;
