--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -61,7 +61,7 @@
     PoolDemand &Demand =
         DemandByPool[JobQueue == nullptr ? Job.Record.Accepted.Pool
                                          : JobQueue->Pool];
-    const bool IsNew = Now - Job.Record.Accepted.At < ArrivalWindow;
+    const bool IsNew = Now - Job.Record.Accepted.AcceptedAt < ArrivalWindow;
     const std::int64_t Weight = IsNew ? 1 + ExpectedArrivalsPerJob : 1;
     for (unsigned Occurrence = 0; Occurrence < Job.spec().occurrenceCount() &&
                                   Job.dueTime(Occurrence) <= Now + DueLookahead;
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -128,7 +128,7 @@
 
 WallTime Job::dueTime(unsigned Occurrence) const {
   const Schedule &Times = spec().Times;
-  return Times.Repeats == 0 ? Record.Accepted.At
+  return Times.Repeats == 0 ? Record.Accepted.AcceptedAt
                             : Times.First + Times.Interval * Occurrence;
 }
 
@@ -148,7 +148,7 @@
   JobSnapshot Summary;
   Summary.Accepted.Job = Record.Accepted.Job;
   Summary.Accepted.Queue = Record.Accepted.Queue;
-  Summary.Accepted.At = Record.Accepted.At;
+  Summary.Accepted.AcceptedAt = Record.Accepted.AcceptedAt;
   Summary.State = Record.State;
   Summary.ClosedAt = Record.ClosedAt;
   Summary.EverPlaced = Record.EverPlaced;
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -139,7 +139,7 @@
           json::string(Event.Job.Text),
           json::string(Event.Queue.Text),
           json::string(Event.Pool.Text),
-          Event.At.time_since_epoch().count(),
+          Event.AcceptedAt.time_since_epoch().count(),
           specArray(Event.Spec)};
 }
 
@@ -148,7 +148,7 @@
   Event.Job = JobId(Reader.text());
   Event.Queue = QueueName(Reader.text());
   Event.Pool = PoolName(Reader.text());
-  Event.At = WallTime(Duration(Reader.number<std::int64_t>()));
+  Event.AcceptedAt = WallTime(Duration(Reader.number<std::int64_t>()));
   Event.Spec = readSpec(Reader.next());
   return Event;
 }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -69,13 +69,13 @@
          State == JobState::Cancelled;
 }
 
-/// The job was accepted at the time At.
+/// The job was accepted.
 struct JobAccepted {
   JobId Job;
   QueueName Queue;
   PoolName Pool;
   JobSpec Spec;
-  WallTime At{};
+  WallTime AcceptedAt{};
 
   auto operator<=>(const JobAccepted &) const = default;
 };
