--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -298,7 +298,7 @@
   }
   adjustPendingCount(*ClosedJob, -1);
   ClosedJob->Record.State = Event.State;
-  ClosedJob->Record.ClosedAt = Event.At;
+  ClosedJob->Record.ClosedAt = Event.ClosedAt;
 }
 
 void JobTable::applyEvent(const JobRemoved &Event, std::uint64_t /*Sequence*/) {
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -242,7 +242,7 @@
   }
   json::array operator()(const JobClosed &Event) const {
     return {"z", json::string(Event.Job.Text), static_cast<int>(Event.State),
-            Event.At.time_since_epoch().count()};
+            Event.ClosedAt.time_since_epoch().count()};
   }
   json::array operator()(const JobRemoved &Event) const {
     return {"f", json::string(Event.Job.Text)};
@@ -278,7 +278,7 @@
     JobClosed Event;
     Event.Job = JobId(Reader.text());
     Event.State = static_cast<JobState>(Reader.number<int>());
-    Event.At = WallTime(Duration(Reader.number<std::int64_t>()));
+    Event.ClosedAt = WallTime(Duration(Reader.number<std::int64_t>()));
     return Event;
   }
   if (Kind == "f") {
--- a/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobEvents.h
@@ -110,11 +110,11 @@
   auto operator<=>(const CheckpointSaved &) const = default;
 };
 
-/// The job reached a final state at the time At.
+/// The job reached a final state.
 struct JobClosed {
   JobId Job;
   JobState State = JobState::Completed;
-  WallTime At{};
+  WallTime ClosedAt{};
 
   auto operator<=>(const JobClosed &) const = default;
 };
