--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -145,7 +145,7 @@
 }
 
 Resources Dispatcher::claimFor(const jobs::StepSpec &Step) {
-  Resources Claim = Step.Need;
+  Resources Claim = Step.RequestedResources;
   if (Step.Filler) {
     Claim.CpuMilli = 0;
   }
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -256,9 +256,9 @@
   }
   const Resources &HostCapacity = UsableWorkers.front()->Record.Capacity;
   const Resources Claim = claimFor(Candidate.spec());
-  const auto FitCount = [](std::int64_t Need, std::int64_t Capacity) {
-    return Need <= 0 ? std::numeric_limits<std::int64_t>::max()
-                     : std::max<std::int64_t>(1, Capacity / Need);
+  const auto FitCount = [](std::int64_t Requested, std::int64_t Capacity) {
+    return Requested <= 0 ? std::numeric_limits<std::int64_t>::max()
+                     : std::max<std::int64_t>(1, Capacity / Requested);
   };
   const auto TasksPerHost = static_cast<std::size_t>(
       std::min(FitCount(Claim.CpuMilli, HostCapacity.CpuMilli),
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -44,9 +44,12 @@
                                 return Task.Phase != jobs::TaskPhase::Done;
                               });
   }
-  Demand.BatchResources.CpuMilli += Spec.Need.CpuMilli * OpenTasks * Weight;
-  Demand.BatchResources.MemoryMb += Spec.Need.MemoryMb * OpenTasks * Weight;
-  Demand.BatchResources.Gpus += Spec.Need.Gpus * OpenTasks * Weight;
+  Demand.BatchResources.CpuMilli +=
+      Spec.RequestedResources.CpuMilli * OpenTasks * Weight;
+  Demand.BatchResources.MemoryMb +=
+      Spec.RequestedResources.MemoryMb * OpenTasks * Weight;
+  Demand.BatchResources.Gpus +=
+      Spec.RequestedResources.Gpus * OpenTasks * Weight;
 }
 
 std::map<PoolName, PoolDemand> findDemandByPool(const jobs::JobTable &Jobs,
--- a/Source/Dispatch/JobRank.cpp
+++ b/Source/Dispatch/JobRank.cpp
@@ -18,7 +18,8 @@
 
 double taskWork(const jobs::StepSpec &Step) {
   const double Seconds = std::chrono::duration<double>(Step.Estimate).count();
-  return static_cast<double>(std::max<std::int64_t>(1, Step.Need.CpuMilli)) *
+  return static_cast<double>(
+             std::max<std::int64_t>(1, Step.RequestedResources.CpuMilli)) *
          std::max(Seconds, 0.001);
 }
 
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -21,8 +21,8 @@
                      fmt::format("has a count of {}; 1 to {} are allowed",
                                  Step.Count, MaxTasksPerJob));
   }
-  const Resources &Need = Step.Need;
-  if (Need.CpuMilli < 0 || Need.MemoryMb < 0 || Need.Gpus < 0) {
+  const Resources &Requested = Step.RequestedResources;
+  if (Requested.CpuMilli < 0 || Requested.MemoryMb < 0 || Requested.Gpus < 0) {
     return stepError(StepIndex, "requests a negative amount of a resource");
   }
   if (Step.Estimate < Duration::zero()) {
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -35,9 +35,9 @@
     Dependencies.push_back(Dependency);
   }
   return {Step.Count,
-          Step.Need.CpuMilli,
-          Step.Need.MemoryMb,
-          Step.Need.Gpus,
+          Step.RequestedResources.CpuMilli,
+          Step.RequestedResources.MemoryMb,
+          Step.RequestedResources.Gpus,
           Step.Estimate.count(),
           std::move(Dependencies),
           json::string(Step.RequiredLabel),
@@ -79,9 +79,9 @@
   ItemReader Reader(Value);
   StepSpec Step;
   Step.Count = Reader.number<unsigned>();
-  Step.Need.CpuMilli = Reader.number<std::int64_t>();
-  Step.Need.MemoryMb = Reader.number<std::int64_t>();
-  Step.Need.Gpus = Reader.number<std::int64_t>();
+  Step.RequestedResources.CpuMilli = Reader.number<std::int64_t>();
+  Step.RequestedResources.MemoryMb = Reader.number<std::int64_t>();
+  Step.RequestedResources.Gpus = Reader.number<std::int64_t>();
   Step.Estimate = Duration(Reader.number<std::int64_t>());
   for (const json::value &Dependency : Reader.next().as_array()) {
     Step.After.push_back(Dependency.to_number<unsigned>());
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -51,7 +51,7 @@
 struct StepSpec {
   unsigned Count = 1;
   /// Resources that each task reserves on its worker.
-  Resources Need;
+  Resources RequestedResources;
   /// The caller's estimate of a task's run time; often inaccurate.
   Duration Estimate{};
   /// Indexes of the earlier steps that must be done before this one starts.
@@ -80,7 +80,8 @@
   bool Speculative = false;
   /// Runs until the job is cancelled.
   bool Lasting = false;
-  /// Uses only idle processor time; Need.CpuMilli reserves no capacity.
+  /// Uses only idle processor time; RequestedResources.CpuMilli reserves no
+  /// capacity.
   bool Filler = false;
 
   auto operator<=>(const StepSpec &) const = default;
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -432,7 +432,7 @@
     Worker.RunDuration = 60s;
   }
   jobs::JobSpec LargeJob = simpleJob(2);
-  LargeJob.Steps.front().Need.CpuMilli = 2500;
+  LargeJob.Steps.front().RequestedResources.CpuMilli = 2500;
   Sim.submit("a", LargeJob);
   Sim.run(200ms);
   Sim.submit("b", LargeJob);
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -26,7 +26,7 @@
   for (unsigned Step = 0; Step < Steps; ++Step) {
     jobs::StepSpec &NewStep = Spec.Steps.emplace_back();
     NewStep.Count = Tasks;
-    NewStep.Need = {1000, 100, 0};
+    NewStep.RequestedResources = {1000, 100, 0};
     NewStep.Estimate = std::chrono::milliseconds(400);
     if (Step > 0) {
       NewStep.After = {Step - 1};
