--- a/Source/Dispatch/JobRank.cpp
+++ b/Source/Dispatch/JobRank.cpp
@@ -44,7 +44,7 @@
                                 });
     }
     Duration StepBegin{};
-    for (const unsigned Predecessor : Step.After) {
+    for (const unsigned Predecessor : Step.PrerequisiteSteps) {
       StepBegin = std::max(StepBegin, StepEnds[Predecessor]);
     }
     StepEnds[Index] =
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -28,7 +28,7 @@
   if (Step.Estimate < Duration::zero()) {
     return stepError(StepIndex, "has a negative estimate");
   }
-  for (const unsigned Dependency : Step.After) {
+  for (const unsigned Dependency : Step.PrerequisiteSteps) {
     if (Dependency >= StepIndex) {
       return stepError(StepIndex,
                        fmt::format("depends on step {}, which is not an "
@@ -81,7 +81,7 @@
   Duration LongestPath{};
   for (std::size_t StepIndex = 0; StepIndex < Spec.Steps.size(); ++StepIndex) {
     Duration StepStart{};
-    for (const unsigned Dependency : Spec.Steps[StepIndex].After) {
+    for (const unsigned Dependency : Spec.Steps[StepIndex].PrerequisiteSteps) {
       StepStart = std::max(StepStart, StepEnds[Dependency]);
     }
     StepEnds[StepIndex] = StepStart + Spec.Steps[StepIndex].Estimate;
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -112,7 +112,7 @@
 
 bool Job::isReady(unsigned Occurrence, unsigned Step) const {
   const auto It = Record.Occurrences.find(Occurrence);
-  const auto &Dependencies = spec().Steps[Step].After;
+  const auto &Dependencies = spec().Steps[Step].PrerequisiteSteps;
   if (It == Record.Occurrences.end()) {
     return Dependencies.empty();
   }
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -31,7 +31,7 @@
 
 json::array stepArray(const StepSpec &Step) {
   json::array Dependencies;
-  for (const unsigned Dependency : Step.After) {
+  for (const unsigned Dependency : Step.PrerequisiteSteps) {
     Dependencies.push_back(Dependency);
   }
   return {Step.Count,
@@ -84,7 +84,7 @@
   Step.RequestedResources.Gpus = Reader.number<std::int64_t>();
   Step.Estimate = Duration(Reader.number<std::int64_t>());
   for (const json::value &Dependency : Reader.next().as_array()) {
-    Step.After.push_back(Dependency.to_number<unsigned>());
+    Step.PrerequisiteSteps.push_back(Dependency.to_number<unsigned>());
   }
   Step.RequiredLabel = Reader.text();
   Step.PreferredRack = Reader.text();
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -55,7 +55,7 @@
   /// The caller's estimate of a task's run time; often inaccurate.
   Duration Estimate{};
   /// Indexes of the earlier steps that must be done before this one starts.
-  std::vector<unsigned> After;
+  std::vector<unsigned> PrerequisiteSteps;
   /// A label that the worker must have; empty for any worker.
   std::string RequiredLabel;
   /// The rack on which the tasks run fastest; empty for none.
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -457,7 +457,7 @@
   SubmitJob Submit{jobs::JobId("0123456789abcdef"), jobs::QueueName("q"), {}};
   Submit.Spec.Text = "text";
   Submit.Spec.Steps.resize(2);
-  Submit.Spec.Steps[1].After = {0};
+  Submit.Spec.Steps[1].PrerequisiteSteps = {0};
   Submit.Spec.Steps[1].Lasting = true;
   for (const JobRequest &Request :
        {JobRequest(Submit), JobRequest(CancelJob{Submit.Job}),
--- a/Tests/Dispatch/HistoryChecker.cpp
+++ b/Tests/Dispatch/HistoryChecker.cpp
@@ -78,7 +78,7 @@
   for (const auto &[Task, Runs] : RunsByTask) {
     const jobs::JobSpec &Spec = Specs.at(Task.Job);
     checkTask(Runs, MaxAttempts, Spec.Steps[Task.Step].Lasting, Violations);
-    for (const unsigned Predecessor : Spec.Steps[Task.Step].After) {
+    for (const unsigned Predecessor : Spec.Steps[Task.Step].PrerequisiteSteps) {
       for (unsigned Index = 0; Index < Spec.Steps[Predecessor].Count; ++Index) {
         if (TaskCompletedAt({Task.Job, Task.Occurrence, Predecessor, Index}) >
             Runs.front()->StartedAt) {
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -29,7 +29,7 @@
     NewStep.RequestedResources = {1000, 100, 0};
     NewStep.Estimate = std::chrono::milliseconds(400);
     if (Step > 0) {
-      NewStep.After = {Step - 1};
+      NewStep.PrerequisiteSteps = {Step - 1};
     }
   }
   return Spec;
