--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -108,7 +108,7 @@
   const auto MeanIt = MeanWorkByQueue.find(JobQueue.Name);
   for (unsigned Occurrence = 0; Occurrence < ParentJob.spec().occurrenceCount();
        ++Occurrence) {
-    if (ParentJob.spec().Times.Repeats > 0 &&
+    if (ParentJob.spec().RunSchedule.Repeats > 0 &&
         ParentJob.dueTime(Occurrence) > Now) {
       break;
     }
@@ -258,7 +258,7 @@
   const Resources Claim = claimFor(Candidate.spec());
   const auto FitCount = [](std::int64_t Requested, std::int64_t Capacity) {
     return Requested <= 0 ? std::numeric_limits<std::int64_t>::max()
-                     : std::max<std::int64_t>(1, Capacity / Requested);
+                          : std::max<std::int64_t>(1, Capacity / Requested);
   };
   const auto TasksPerHost = static_cast<std::size_t>(
       std::min(FitCount(Claim.CpuMilli, HostCapacity.CpuMilli),
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -70,7 +70,8 @@
     return absl::InvalidArgumentError(fmt::format(
         "the job has {} tasks; {} are allowed", TaskCount, MaxTasksPerJob));
   }
-  if (Spec.Times.Repeats > 0 && Spec.Times.Interval < Duration::zero()) {
+  if (Spec.RunSchedule.Repeats > 0 &&
+      Spec.RunSchedule.Interval < Duration::zero()) {
     return absl::InvalidArgumentError("the schedule's interval is negative");
   }
   return absl::OkStatus();
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -12,7 +12,7 @@
 
 bool isPending(const Job &Candidate) {
   return Candidate.isOpen() && !Candidate.Record.EverPlaced &&
-         Candidate.spec().Times.Repeats == 0;
+         Candidate.spec().RunSchedule.Repeats == 0;
 }
 
 OccurrenceRecord makeOccurrence(const JobSpec &Spec) {
@@ -127,9 +127,10 @@
 }
 
 WallTime Job::dueTime(unsigned Occurrence) const {
-  const Schedule &Times = spec().Times;
-  return Times.Repeats == 0 ? Record.Accepted.AcceptedAt
-                            : Times.First + Times.Interval * Occurrence;
+  const Schedule &RunSchedule = spec().RunSchedule;
+  return RunSchedule.Repeats == 0
+             ? Record.Accepted.AcceptedAt
+             : RunSchedule.First + RunSchedule.Interval * Occurrence;
 }
 
 const TaskRecord *Job::find(const TaskRef &Task) const {
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -54,9 +54,9 @@
   for (const StepSpec &Step : Spec.Steps) {
     Steps.push_back(stepArray(Step));
   }
-  return {json::string(Spec.Text), std::move(Steps), Spec.Times.Repeats,
-          Spec.Times.First.time_since_epoch().count(),
-          Spec.Times.Interval.count()};
+  return {json::string(Spec.Text), std::move(Steps), Spec.RunSchedule.Repeats,
+          Spec.RunSchedule.First.time_since_epoch().count(),
+          Spec.RunSchedule.Interval.count()};
 }
 
 /// Reads the items of an array in order. The JSON library throws on a wrong
@@ -109,9 +109,9 @@
   for (const json::value &Step : Reader.next().as_array()) {
     Spec.Steps.push_back(readStep(Step));
   }
-  Spec.Times.Repeats = Reader.number<unsigned>();
-  Spec.Times.First = WallTime(Duration(Reader.number<std::int64_t>()));
-  Spec.Times.Interval = Duration(Reader.number<std::int64_t>());
+  Spec.RunSchedule.Repeats = Reader.number<unsigned>();
+  Spec.RunSchedule.First = WallTime(Duration(Reader.number<std::int64_t>()));
+  Spec.RunSchedule.Interval = Duration(Reader.number<std::int64_t>());
   return Spec;
 }
 
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -102,11 +102,11 @@
   /// Passed to the workers unchanged.
   std::string Text;
   std::vector<StepSpec> Steps;
-  Schedule Times;
+  Schedule RunSchedule;
 
   /// How many times the steps run.
   unsigned occurrenceCount() const {
-    return Times.Repeats == 0 ? 1 : Times.Repeats;
+    return RunSchedule.Repeats == 0 ? 1 : RunSchedule.Repeats;
   }
   /// Whether any step is lasting.
   bool lasting() const;
--- a/Tests/Dispatch/HostKeeperTest.cpp
+++ b/Tests/Dispatch/HostKeeperTest.cpp
@@ -329,7 +329,7 @@
   FleetFixture Fleet(6);
   Fleet.moveToStandby(2);
   jobs::JobSpec Spec = simpleJob(16);
-  Spec.Times = {2, Fleet.Sim.Time.wallNow() + 5s, 5s};
+  Spec.RunSchedule = {2, Fleet.Sim.Time.wallNow() + 5s, 5s};
   Fleet.Sim.submit("a", Spec);
   Fleet.Sim.run(2s);
   BOOST_TEST(Fleet.decide().empty());
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -35,8 +35,8 @@
               SecondStep.SameRack && SecondStep.Speculative));
   BOOST_TEST(SecondStep.MaxUnavailable == 2);
   BOOST_TEST((SecondStep.TailObjective == 40ms));
-  BOOST_TEST(Job->Times.Repeats == 3);
-  BOOST_TEST((Job->Times.First == WallTime(1s)));
+  BOOST_TEST(Job->RunSchedule.Repeats == 3);
+  BOOST_TEST((Job->RunSchedule.First == WallTime(1s)));
 }
 
 BOOST_AUTO_TEST_CASE(InvalidJobsAreRejectedWithAMessage) {
