--- a/Source/Dispatch/JobRank.cpp
+++ b/Source/Dispatch/JobRank.cpp
@@ -17,7 +17,8 @@
 constexpr double MaxValue = 4;
 
 double taskWork(const jobs::StepSpec &Step) {
-  const double Seconds = std::chrono::duration<double>(Step.Estimate).count();
+  const double Seconds =
+      std::chrono::duration<double>(Step.EstimatedRunTime).count();
   return static_cast<double>(
              std::max<std::int64_t>(1, Step.RequestedResources.CpuMilli)) *
          std::max(Seconds, 0.001);
@@ -48,7 +49,7 @@
       StepBegin = std::max(StepBegin, StepEnds[Predecessor]);
     }
     StepEnds[Index] =
-        StepBegin + (OpenTasks > 0 ? Step.Estimate : Duration::zero());
+        StepBegin + (OpenTasks > 0 ? Step.EstimatedRunTime : Duration::zero());
     WorkLeft.CriticalPath = std::max(WorkLeft.CriticalPath, StepEnds[Index]);
     WorkLeft.Work += taskWork(Step) * static_cast<double>(OpenTasks);
   }
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -25,7 +25,7 @@
   if (Requested.CpuMilli < 0 || Requested.MemoryMb < 0 || Requested.Gpus < 0) {
     return stepError(StepIndex, "requests a negative amount of a resource");
   }
-  if (Step.Estimate < Duration::zero()) {
+  if (Step.EstimatedRunTime < Duration::zero()) {
     return stepError(StepIndex, "has a negative estimate");
   }
   for (const unsigned Dependency : Step.PrerequisiteSteps) {
@@ -85,7 +85,7 @@
     for (const unsigned Dependency : Spec.Steps[StepIndex].PrerequisiteSteps) {
       StepStart = std::max(StepStart, StepEnds[Dependency]);
     }
-    StepEnds[StepIndex] = StepStart + Spec.Steps[StepIndex].Estimate;
+    StepEnds[StepIndex] = StepStart + Spec.Steps[StepIndex].EstimatedRunTime;
     LongestPath = std::max(LongestPath, StepEnds[StepIndex]);
   }
   return LongestPath;
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -38,7 +38,7 @@
           Step.RequestedResources.CpuMilli,
           Step.RequestedResources.MemoryMb,
           Step.RequestedResources.Gpus,
-          Step.Estimate.count(),
+          Step.EstimatedRunTime.count(),
           std::move(Dependencies),
           json::string(Step.RequiredLabel),
           json::string(Step.PreferredRack),
@@ -82,7 +82,7 @@
   Step.RequestedResources.CpuMilli = Reader.number<std::int64_t>();
   Step.RequestedResources.MemoryMb = Reader.number<std::int64_t>();
   Step.RequestedResources.Gpus = Reader.number<std::int64_t>();
-  Step.Estimate = Duration(Reader.number<std::int64_t>());
+  Step.EstimatedRunTime = Duration(Reader.number<std::int64_t>());
   for (const json::value &Dependency : Reader.next().as_array()) {
     Step.PrerequisiteSteps.push_back(Dependency.to_number<unsigned>());
   }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -53,7 +53,7 @@
   /// Resources that each task reserves on its worker.
   Resources RequestedResources;
   /// The caller's estimate of a task's run time; often inaccurate.
-  Duration Estimate{};
+  Duration EstimatedRunTime{};
   /// Indexes of the earlier steps that must be done before this one starts.
   std::vector<unsigned> PrerequisiteSteps;
   /// A label that the worker must have; empty for any worker.
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -27,7 +27,7 @@
     jobs::StepSpec &NewStep = Spec.Steps.emplace_back();
     NewStep.Count = Tasks;
     NewStep.RequestedResources = {1000, 100, 0};
-    NewStep.Estimate = std::chrono::milliseconds(400);
+    NewStep.EstimatedRunTime = std::chrono::milliseconds(400);
     if (Step > 0) {
       NewStep.PrerequisiteSteps = {Step - 1};
     }
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -24,7 +24,7 @@
   const jobs::StepSpec &FirstStep = Job->Steps[0];
   BOOST_TEST(FirstStep.Count == 2);
   BOOST_TEST((FirstStep.RequestedResources == jobs::Resources{500, 64, 1}));
-  BOOST_TEST((FirstStep.Estimate == 900ms));
+  BOOST_TEST((FirstStep.EstimatedRunTime == 900ms));
   BOOST_TEST(FirstStep.Checkpoints);
   BOOST_TEST(FirstStep.RequiredLabel == "a");
   BOOST_TEST(FirstStep.PreferredRack == "r1");
