--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -127,7 +127,7 @@
         Run.WorkerIncarnation = Task.Worker.Incarnation;
         const jobs::StepSpec &Spec = Job.spec().Steps[Step];
         Run.Claim = claimFor(Spec);
-        Run.Lasting = Spec.Lasting;
+        Run.LongRunning = Spec.LongRunning;
         Run.Filler = Spec.Filler;
         Run.TailObjective = Spec.TailObjective;
         if (Run.Filler) {
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -133,7 +133,7 @@
       !HasUnrecordedEnds) {
     const bool HasStartingRun = std::any_of(
         Worker.Runs.begin(), Worker.Runs.end(), [](const auto &Run) {
-          return Run.second.Lasting && Run.second.Percent == 0;
+          return Run.second.LongRunning && Run.second.Percent == 0;
         });
     Order.Wait = HasStartingRun                     ? Settings.StartingHoldWait
                  : Worker.hasFillersNextToServing() ? Settings.SharedHoldWait
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -37,7 +37,7 @@
 namespace {
 
 /// Score adjustments that outweigh the utilization of a worker. Utilization
-/// adds at most 1, and each lasting run adds 1.
+/// adds at most 1, and each run of a long-running task adds 1.
 constexpr double PreferredRackBonus = 100;
 constexpr double FailedOnWorkerPenalty = 1000;
 /// Tasks that stay unplaced longer than this count as a need for more hosts.
@@ -71,18 +71,18 @@
 }
 
 /// Score of a worker for a step; larger is better. Work is bin-packed so that
-/// other workers stay free for maintenance and moves. Lasting runs and fillers
-/// prefer workers that already have lasting runs.
+/// other workers stay free for maintenance and moves. Long-running and fillers
+/// prefer workers that already have long-running tasks.
 double scoreWorker(const WorkerState &Worker, const StepSpec &Step) {
   const double Capacity = static_cast<double>(
       std::max<std::int64_t>(1, Worker.Record.Capacity.CpuMilli));
   const double Utilization =
       static_cast<double>(Worker.ClaimedResources.CpuMilli) / Capacity;
   double Score = Utilization;
-  if (Step.Lasting || Step.Filler) {
+  if (Step.LongRunning || Step.Filler) {
     Score += static_cast<double>(
         std::count_if(Worker.Runs.begin(), Worker.Runs.end(),
-                      [](const auto &Run) { return Run.second.Lasting; }));
+                      [](const auto &Run) { return Run.second.LongRunning; }));
   }
   if (!Step.PreferredRack.empty() && Worker.hasLabel(Step.PreferredRack)) {
     Score += PreferredRackBonus;
@@ -404,7 +404,7 @@
   NewRun.Number = Run;
   NewRun.WorkerIncarnation = Worker.Record.Instance.Incarnation;
   NewRun.Claim = claimFor(Candidate.spec());
-  NewRun.Lasting = Candidate.spec().Lasting;
+  NewRun.LongRunning = Candidate.spec().LongRunning;
   NewRun.Filler = Candidate.spec().Filler;
   NewRun.TailObjective = Candidate.spec().TailObjective;
   if (const std::string *Ticket = Permits.findTicket(
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -107,7 +107,7 @@
       Job == nullptr ? nullptr : Job->find(EndedRun.Task);
   if (EndedRun.Outcome != RunOutcome::Done || Task == nullptr ||
       Task->Phase == jobs::TaskPhase::Done || Task->Run != EndedRun.Run ||
-      Job->spec().Steps[EndedRun.Task.Step].Lasting ||
+      Job->spec().Steps[EndedRun.Task.Step].LongRunning ||
       isProposed(EndedRun.Task)) {
     return;
   }
@@ -195,7 +195,7 @@
     Events.emplace_back(jobs::CheckpointSaved{ReportedRun.Task, ReportedRun.Run,
                                               ReportedRun.Checkpoint});
   }
-  if (!Run.Lasting && !Run.StopRequested &&
+  if (!Run.LongRunning && !Run.StopRequested &&
       Now - Run.PercentChangedAt > Settings.StallTimeout) {
     Log.write(LogLevel::Warning, "run-stalled",
               {{"job", ReportedRun.Task.Job.Text},
--- a/Source/Dispatch/HostKeeper.cpp
+++ b/Source/Dispatch/HostKeeper.cpp
@@ -63,10 +63,10 @@
 }
 
 /// Whether taking the worker down would not cut off a run that ends by itself.
-bool hasOnlyLastingRuns(const WorkerState *Worker) {
+bool hasOnlyLongRunningTasks(const WorkerState *Worker) {
   return Worker == nullptr ||
          std::all_of(Worker->Runs.begin(), Worker->Runs.end(),
-                     [](const auto &Run) { return Run.second.Lasting; });
+                     [](const auto &Run) { return Run.second.LongRunning; });
 }
 
 } // namespace
@@ -76,7 +76,8 @@
                                       const jobs::JobTable &Jobs) {
   for (const auto &[Task, Run] : Worker.Runs) {
     const jobs::Job *Job = Jobs.find(Task.Job);
-    if (Job == nullptr || !Job->isOpen() || !Run.Lasting || !isAtWork(Run)) {
+    if (Job == nullptr || !Job->isOpen() || !Run.LongRunning ||
+        !isAtWork(Run)) {
       continue;
     }
     const unsigned MaxUnavailable = Job->spec().Steps[Task.Step].MaxUnavailable;
@@ -95,8 +96,8 @@
   std::map<StepRef, unsigned> InterruptedByStep;
   for (const auto &[Task, Run] : Worker.Runs) {
     const jobs::Job *Job = Jobs.find(Task.Job);
-    if (Job != nullptr && Job->isOpen() && Run.Lasting && mayBeAtWork(Run) &&
-        Job->spec().Steps[Task.Step].MaxUnavailable > 0) {
+    if (Job != nullptr && Job->isOpen() && Run.LongRunning &&
+        mayBeAtWork(Run) && Job->spec().Steps[Task.Step].MaxUnavailable > 0) {
       InterruptedByStep[stepOf(Task)] += isAtWork(Run) ? 1 : 0;
     }
   }
@@ -285,14 +286,14 @@
     const bool MayInterrupt =
         Worker == nullptr || canInterrupt(*Worker, JobDispatcher, Jobs);
     if (AwayCount < ActiveWave.Request.MaxAway && MayInterrupt &&
-        (hasOnlyLastingRuns(Worker) || IsOverdue)) {
+        (hasOnlyLongRunningTasks(Worker) || IsOverdue)) {
       issueOrder({Host->Name, Host->WorkerId, ActiveWave.Request.Number, {}},
                  JobDispatcher, Decisions);
       ++AwayCount;
       continue;
     }
     if (!MayInterrupt && DrainIt != ActiveWave.DrainingSince.end()) {
-      // Moves the lasting tasks to other workers one by one.
+      // Moves the long-running tasks to other workers one by one.
       if (const auto Task = findTaskToMove(*Worker, JobDispatcher, Jobs)) {
         JobDispatcher.moveRun(Host->WorkerId, *Task);
       }
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -25,11 +25,12 @@
 void addDemand(const jobs::Job &Job, unsigned Occurrence, unsigned Step,
                std::int64_t Weight, PoolDemand &Demand) {
   const jobs::StepSpec &Spec = Job.spec().Steps[Step];
-  if (Spec.Lasting) {
+  if (Spec.LongRunning) {
     const unsigned TasksPerHost =
         Spec.MaxPerWorker > 0 ? Spec.MaxPerWorker : Spec.Count;
-    Demand.LastingHosts = std::max(
-        Demand.LastingHosts, (Spec.Count + TasksPerHost - 1) / TasksPerHost);
+    Demand.LongRunningHosts =
+        std::max(Demand.LongRunningHosts,
+                 (Spec.Count + TasksPerHost - 1) / TasksPerHost);
     return;
   }
   if (!Job.isReady(Occurrence, Step)) {
@@ -105,10 +106,10 @@
         !OpenOrders.contains(Name) && !AnsweredOrders.contains(Name) &&
         !isSettling(Name) && (Worker == nullptr || !Worker->Record.Draining);
     Entry.IsVacant = Worker == nullptr || Worker->Runs.empty();
-    Entry.HasLastingTask =
+    Entry.HasLongRunningTask =
         Worker != nullptr &&
         std::any_of(Worker->Runs.begin(), Worker->Runs.end(),
-                    [](const auto &Run) { return Run.second.Lasting; });
+                    [](const auto &Run) { return Run.second.LongRunning; });
     Entry.IsDraining = HostsDrainingForMove.contains(Name);
     Entry.ClaimedCpuMilli = claimedCpuMilli(Host, JobDispatcher);
     Result.push_back(std::move(Entry));
--- a/Source/Dispatch/JobRank.cpp
+++ b/Source/Dispatch/JobRank.cpp
@@ -76,8 +76,8 @@
       std::min(MaxValue, BaseValue + (1 - BaseValue) * TotalWork /
                                          std::max(MeanWork, 1.0));
   Result.Cost = WorkLeft.Work / JobValue;
-  if (Job.spec().lasting()) {
-    Result.JobClass = Rank::Lasting;
+  if (Job.spec().hasLongRunningStep()) {
+    Result.JobClass = Rank::LongRunning;
     return Result;
   }
   const Duration Age = Now - Result.DueAt;
--- a/Source/Dispatch/PoolPlanner.cpp
+++ b/Source/Dispatch/PoolPlanner.cpp
@@ -30,7 +30,7 @@
                   const PoolPlanner::Balances &PoolBalances) {
   const auto Source = PoolBalances.find(Host.Pool);
   return Source != PoolBalances.end() && Host.IsMovable &&
-         !Host.HasLastingTask &&
+         !Host.HasLongRunningTask &&
          (Source->second.Standby ||
           Source->second.HostCount > Source->second.DesiredHosts);
 }
@@ -116,7 +116,7 @@
                hostsNeeded(WithHeadroom(Demand.BatchResources.MemoryMb),
                            HostCapacity.MemoryMb));
   const unsigned MinHosts = std::max(
-      {Demand.LastingHosts, Demand.HostsForUnplaced, Settings.MinHosts});
+      {Demand.LongRunningHosts, Demand.HostsForUnplaced, Settings.MinHosts});
   std::map<Instant, unsigned> &RecentDemand = HistoryByPool[Pool].RecentDemand;
   RecentDemand.erase(RecentDemand.begin(), RecentDemand.lower_bound(Now));
   RecentDemand[Now + Settings.DemandWindow] = std::max(BatchHosts, MinHosts);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -36,7 +36,7 @@
   /// Long-poll time of a hold: how long the worker waits for a run to end
   /// before it replies.
   Duration HoldWait = std::chrono::milliseconds(1000);
-  /// Long-poll time while a lasting task has not started its work, since only a
+  /// Long-poll time while a long-running task has not started its work, since only a
   /// reply shows that it has.
   Duration StartingHoldWait = std::chrono::milliseconds(250);
   /// Long-poll time while fillers share a worker with serving tasks, since the
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
@@ -1,7 +1,7 @@
 /// \file
 /// Decides which hosts are maintained next, within the limits of each wave on
 /// time and on hosts away at once, and which hosts move between pools. It never
-/// makes more tasks of a lasting step unavailable than the caller allows, and
+/// makes more tasks of a long-running step unavailable than the caller allows, and
 /// it drains a host before it cuts off work that would end by itself.
 
 #ifndef BALSAMLATCH_DISPATCH_HOSTKEEPER_H
@@ -150,12 +150,12 @@
   std::set<HostName> HostsDrainingForMove;
 };
 
-/// Whether all lasting tasks on the worker may be interrupted now without
+/// Whether all long-running tasks on the worker may be interrupted now without
 /// making more tasks of any step unavailable than its caller allows.
 bool canInterrupt(const WorkerState &Worker, const Dispatcher &JobDispatcher,
                   const jobs::JobTable &Jobs);
 
-/// Returns a lasting task on the worker that may be stopped now to be placed on
+/// Returns a long-running task on the worker that may be stopped now to be placed on
 /// another worker.
 std::optional<TaskRef> findTaskToMove(const WorkerState &Worker,
                                       const Dispatcher &JobDispatcher,
--- a/Source/Dispatch/include/balsamlatch/Dispatch/JobRank.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/JobRank.h
@@ -13,9 +13,9 @@
 
 /// Sort key of waiting work; a smaller rank is placed first.
 struct Rank {
-  /// Lasting jobs, jobs that can meet their objective, jobs that are late but
-  /// still of some value, and all others.
-  enum Class { Lasting, OnTime, Late, Overdue };
+  /// Long-running jobs, jobs that can meet their objective, jobs that are late
+  /// but still of some value, and all others.
+  enum Class { LongRunning, OnTime, Late, Overdue };
 
   Class JobClass = Overdue;
   /// Remaining work in CPU milliseconds, divided by the value of the whole job.
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -77,7 +77,7 @@
   TaskRef Task;
   std::uint32_t Run = 0;
   std::string Checkpoint;
-  /// Progress of a task that ends by itself; 100 for a lasting task at work.
+  /// Progress of a task that ends by itself; 100 for a long-running task at work.
   unsigned Percent = 0;
   /// Tail latency of a serving task in milliseconds; CPU in use otherwise.
   std::int64_t Gauge = 0;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/PoolPlanner.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/PoolPlanner.h
@@ -16,11 +16,11 @@
 
 /// The current demand of a pool's open jobs.
 struct PoolDemand {
-  /// Resources of the tasks that run or could run now, except those of lasting
-  /// steps.
+  /// Resources of the tasks that run or could run now, except those of
+  /// long-running steps.
   Resources BatchResources;
-  /// Hosts needed for lasting tasks.
-  unsigned LastingHosts = 0;
+  /// Hosts needed for long-running tasks.
+  unsigned LongRunningHosts = 0;
   /// Total hosts needed to place the tasks that no usable worker can take.
   unsigned HostsForUnplaced = 0;
 
@@ -36,8 +36,8 @@
   bool IsMovable = false;
   /// Has no runs.
   bool IsVacant = false;
-  /// Has a run of a lasting task.
-  bool HasLastingTask = false;
+  /// Has a run of a long-running task.
+  bool HasLongRunningTask = false;
   /// Drains for a move.
   bool IsDraining = false;
   std::int64_t ClaimedCpuMilli = 0;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
@@ -33,7 +33,7 @@
   /// Incarnation of the worker that the run was placed on.
   std::int64_t WorkerIncarnation = 0;
   Resources Claim;
-  bool Lasting = false;
+  bool LongRunning = false;
   bool Filler = false;
   bool StopRequested = false;
   bool StopInFlight = false;
--- a/Source/Jobs/JobSpec.cpp
+++ b/Source/Jobs/JobSpec.cpp
@@ -41,9 +41,9 @@
 
 } // namespace
 
-bool JobSpec::lasting() const {
+bool JobSpec::hasLongRunningStep() const {
   return std::any_of(Steps.begin(), Steps.end(),
-                     [](const StepSpec &Step) { return Step.Lasting; });
+                     [](const StepSpec &Step) { return Step.LongRunning; });
 }
 
 absl::Status validate(const JobSpec &Spec) {
--- a/Source/Jobs/JobTable.cpp
+++ b/Source/Jobs/JobTable.cpp
@@ -73,7 +73,7 @@
 }
 
 /// The largest failure count of a task in the step, or the sum over a gang.
-/// Zero for lasting steps, whose tasks are restarted without limit.
+/// Zero for long-running steps, whose tasks are restarted without limit.
 std::uint32_t countStepFailures(const StepSpec &Spec, const StepRecord &Tasks) {
   std::uint32_t MaxFailures = 0;
   std::uint32_t TotalFailures = 0;
@@ -81,7 +81,7 @@
     MaxFailures = std::max(MaxFailures, Task.Failures);
     TotalFailures += Task.Failures;
   }
-  if (Spec.Lasting) {
+  if (Spec.LongRunning) {
     return 0;
   }
   return Spec.Gang ? TotalFailures : MaxFailures;
@@ -267,10 +267,11 @@
       ParentJob->Record.Occurrences[Event.Task.Occurrence][Event.Task.Step];
   saveCheckpoint(Step, Members, *Task, Event.Checkpoint);
   Task->Worker = WorkerInstance();
-  const bool IsTaskDone = Event.Outcome == RunOutcome::Done && !Step.Lasting;
+  const bool IsTaskDone =
+      Event.Outcome == RunOutcome::Done && !Step.LongRunning;
   Task->Phase = IsTaskDone ? TaskPhase::Done : TaskPhase::Waiting;
   ParentJob->OpenTasks -= IsTaskDone ? 1 : 0;
-  if (Event.Outcome == RunOutcome::Failed && !Step.Lasting) {
+  if (Event.Outcome == RunOutcome::Failed && !Step.LongRunning) {
     countFailure(Step, Members, *Task);
   }
   if (Step.Gang && IsTaskDone) {
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -18,7 +18,7 @@
   FlagGang = 2,
   FlagSameRack = 4,
   FlagSpeculative = 8,
-  FlagLasting = 16,
+  FlagLongRunning = 16,
   FlagFiller = 32,
 };
 
@@ -26,7 +26,8 @@
   return (Step.Checkpoints ? FlagCheckpoints : 0U) |
          (Step.Gang ? FlagGang : 0U) | (Step.SameRack ? FlagSameRack : 0U) |
          (Step.Speculative ? FlagSpeculative : 0U) |
-         (Step.Lasting ? FlagLasting : 0U) | (Step.Filler ? FlagFiller : 0U);
+         (Step.LongRunning ? FlagLongRunning : 0U) |
+         (Step.Filler ? FlagFiller : 0U);
 }
 
 json::array stepArray(const StepSpec &Step) {
@@ -97,7 +98,7 @@
   Step.Gang = (Flags & FlagGang) != 0;
   Step.SameRack = (Flags & FlagSameRack) != 0;
   Step.Speculative = (Flags & FlagSpeculative) != 0;
-  Step.Lasting = (Flags & FlagLasting) != 0;
+  Step.LongRunning = (Flags & FlagLongRunning) != 0;
   Step.Filler = (Flags & FlagFiller) != 0;
   return Step;
 }
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -65,7 +65,7 @@
   /// Maximum number of tasks that may be unavailable at a time because of moves
   /// or maintenance; 0 for no limit.
   unsigned MaxUnavailable = 0;
-  /// Upper limit for the tail latency of a lasting task's responses.
+  /// Upper limit for the tail latency of a long-running task's responses.
   Duration TailObjective{};
   /// The image that the tasks execute; tasks with the same image are expected
   /// to perform alike.
@@ -79,7 +79,7 @@
   /// Several copies of a task may run concurrently.
   bool Speculative = false;
   /// Runs until the job is cancelled.
-  bool Lasting = false;
+  bool LongRunning = false;
   /// Uses only idle processor time; RequestedResources.CpuMilli reserves no
   /// capacity.
   bool Filler = false;
@@ -108,8 +108,8 @@
   unsigned occurrenceCount() const {
     return RunSchedule.Repeats == 0 ? 1 : RunSchedule.Repeats;
   }
-  /// Whether any step is lasting.
-  bool lasting() const;
+  /// Whether any step is long-running.
+  bool hasLongRunningStep() const;
 
   auto operator<=>(const JobSpec &) const = default;
 };
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -458,7 +458,7 @@
   Submit.Spec.Text = "text";
   Submit.Spec.Steps.resize(2);
   Submit.Spec.Steps[1].PrerequisiteSteps = {0};
-  Submit.Spec.Steps[1].Lasting = true;
+  Submit.Spec.Steps[1].LongRunning = true;
   for (const JobRequest &Request :
        {JobRequest(Submit), JobRequest(CancelJob{Submit.Job}),
         JobRequest(AskJob{Submit.Job}), JobRequest(AskQueue{Submit.Queue})}) {
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -22,9 +22,9 @@
   return Text;
 }
 
-jobs::JobSpec lastingJob(unsigned Tasks) {
+jobs::JobSpec longRunningJob(unsigned Tasks) {
   jobs::JobSpec Spec = simpleJob(Tasks);
-  Spec.Steps.front().Lasting = true;
+  Spec.Steps.front().LongRunning = true;
   Spec.Steps.front().MaxPerWorker = 1;
   Spec.Steps.front().MaxUnavailable = 1;
   return Spec;
@@ -58,7 +58,7 @@
 
 BOOST_AUTO_TEST_CASE(TasksOfAnUnresponsiveWorkerMoveAfterTheirLease) {
   Simulation Sim(2);
-  Sim.submit("a", lastingJob(1));
+  Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
   const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
   FakeWorker &Worker = FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1];
@@ -99,7 +99,7 @@
 
 BOOST_AUTO_TEST_CASE(ARestartedWorkerLosesItsRunsAtOnce) {
   Simulation Sim(1);
-  Sim.submit("a", lastingJob(1));
+  Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
   Sim.Workers[0].crash(Sim.Time.now(), Sim.Observed);
   Sim.run(300ms);
@@ -109,7 +109,7 @@
 
 BOOST_AUTO_TEST_CASE(ALaterHolderAdoptsRunningTasks) {
   Simulation Sim(2);
-  Sim.submit("a", lastingJob(2));
+  Sim.submit("a", longRunningJob(2));
   Sim.submit("b", simpleJob(3));
   Sim.run(200ms);
   Sim.startNewTerm();
@@ -122,7 +122,7 @@
 
 BOOST_AUTO_TEST_CASE(ALaterHolderWaitsForWorkersThatItCantReach) {
   Simulation Sim(2);
-  Sim.submit("a", lastingJob(1));
+  Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
   const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
   (FirstWorker == "w0" ? Sim.Workers[0] : Sim.Workers[1]).IsDown = true;
@@ -157,7 +157,7 @@
 
 BOOST_AUTO_TEST_CASE(ACancelledJobStops) {
   Simulation Sim(2);
-  Sim.submit("a", lastingJob(2));
+  Sim.submit("a", longRunningJob(2));
   Sim.run(500ms);
   Sim.cancel("a");
   Sim.run(500ms);
@@ -218,7 +218,7 @@
 
 BOOST_AUTO_TEST_CASE(OnlyOwnLeasesCountOnceAWorkerKnowsTheHolder) {
   Simulation Sim(2);
-  Sim.submit("a", lastingJob(1));
+  Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
   Sim.startNewTerm();
   Sim.run(500ms);
@@ -231,7 +231,7 @@
 
 BOOST_AUTO_TEST_CASE(AWorkerMissingFromHostListsCountsAsEnded) {
   Simulation Sim(2);
-  Sim.submit("a", lastingJob(1));
+  Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
   const std::string FirstWorker = Sim.Observed.Runs.front().Worker;
   FakeWorker &EndedWorker =
@@ -449,10 +449,10 @@
 /// and two fillers that increase it.
 struct FillerSimulation : Simulation {
   FillerSimulation() : Simulation(1) {
-    jobs::JobSpec ServingJob = lastingJob(1);
+    jobs::JobSpec ServingJob = longRunningJob(1);
     ServingJob.Steps.front().TailObjective = 100ms;
     submit("serving", ServingJob);
-    jobs::JobSpec FillerJob = lastingJob(2);
+    jobs::JobSpec FillerJob = longRunningJob(2);
     FillerJob.Text = "filler";
     FillerJob.Steps.front().MaxPerWorker = 0;
     FillerJob.Steps.front().Filler = true;
--- a/Tests/Dispatch/HistoryChecker.cpp
+++ b/Tests/Dispatch/HistoryChecker.cpp
@@ -22,7 +22,7 @@
 }
 
 void checkTask(const std::vector<const RunTrace *> &Runs, unsigned MaxAttempts,
-               bool Lasting, std::vector<std::string> &Violations) {
+               bool LongRunning, std::vector<std::string> &Violations) {
   unsigned Failures = 0;
   const RunTrace *PreviousRun = nullptr;
   for (const RunTrace *Run : Runs) {
@@ -33,14 +33,14 @@
     // A completed task may run again if no lease holder could know of its end:
     // the end was never acknowledged, or only after the lease had expired.
     if (PreviousRun != nullptr && PreviousRun->End == RunOutcome::Done &&
-        !Lasting && PreviousRun->EndAcknowledged &&
+        !LongRunning && PreviousRun->EndAcknowledged &&
         !PreviousRun->LeaseExpiredFirst) {
       Violations.push_back(fmt::format("{} runs after it has completed", Task));
     }
     if (PreviousRun != nullptr && Run->Run <= PreviousRun->Run) {
       Violations.push_back(fmt::format("{} reuses a run number", Task));
     }
-    if (!Lasting && Failures >= MaxAttempts) {
+    if (!LongRunning && Failures >= MaxAttempts) {
       Violations.push_back(
           fmt::format("{} runs after its last allowed attempt", Task));
     }
@@ -77,7 +77,7 @@
   };
   for (const auto &[Task, Runs] : RunsByTask) {
     const jobs::JobSpec &Spec = Specs.at(Task.Job);
-    checkTask(Runs, MaxAttempts, Spec.Steps[Task.Step].Lasting, Violations);
+    checkTask(Runs, MaxAttempts, Spec.Steps[Task.Step].LongRunning, Violations);
     for (const unsigned Predecessor : Spec.Steps[Task.Step].PrerequisiteSteps) {
       for (unsigned Index = 0; Index < Spec.Steps[Predecessor].Count; ++Index) {
         if (TaskCompletedAt({Task.Job, Task.Occurrence, Predecessor, Index}) >
--- a/Tests/Dispatch/HistoryTest.cpp
+++ b/Tests/Dispatch/HistoryTest.cpp
@@ -61,7 +61,7 @@
   for (unsigned Number = 0; Number < 12; ++Number) {
     const std::string Id = fmt::format("j{}", Number);
     jobs::JobSpec Spec = simpleJob(1 + Sim.Random() % 5, 1 + Sim.Random() % 3);
-    Spec.Steps.front().Lasting = chance(Sim, 20) && Spec.Steps.size() == 1;
+    Spec.Steps.front().LongRunning = chance(Sim, 20) && Spec.Steps.size() == 1;
     Sim.submit(Id, Spec);
     Sim.run(std::chrono::milliseconds(200 + Sim.Random() % 1000));
     injectFault(Sim);
@@ -81,7 +81,7 @@
     BOOST_ERROR("seed " << Seed << ": " << Violation);
   }
   for (const auto &[Id, Job] : Sim.Table.jobs()) {
-    BOOST_TEST((!Job.isOpen() || Job.spec().lasting()),
+    BOOST_TEST((!Job.isOpen() || Job.spec().hasLongRunningStep()),
                "seed " << Seed << ": " << Id.Text << " never ends");
   }
 }
--- a/Tests/Dispatch/HostKeeperTest.cpp
+++ b/Tests/Dispatch/HostKeeperTest.cpp
@@ -20,9 +20,9 @@
 const PoolName TestPool("pool");
 const PoolName StandbyPool("spare");
 
-jobs::JobSpec lastingJob(unsigned Tasks) {
+jobs::JobSpec longRunningJob(unsigned Tasks) {
   jobs::JobSpec Spec = simpleJob(Tasks);
-  Spec.Steps.front().Lasting = true;
+  Spec.Steps.front().LongRunning = true;
   Spec.Steps.front().MaxPerWorker = 1;
   Spec.Steps.front().MaxUnavailable = 1;
   return Spec;
@@ -142,7 +142,7 @@
 
 BOOST_AUTO_TEST_CASE(NoMoreTasksOfAStepAreInterruptedThanItsCallerAllows) {
   FleetFixture Fleet(3);
-  Fleet.Sim.submit("a", lastingJob(2));
+  Fleet.Sim.submit("a", longRunningJob(2));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
   Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 3));
@@ -164,7 +164,7 @@
   FleetFixture Fleet(2);
   Fleet.Sim.Workers[0].Hangs = true;
   Fleet.Sim.Workers[1].Hangs = true;
-  jobs::JobSpec Spec = lastingJob(2);
+  jobs::JobSpec Spec = longRunningJob(2);
   Spec.Steps.front().MaxPerWorker = 0;
   Fleet.Sim.submit("a", Spec);
   Fleet.Sim.run(4s);
@@ -178,7 +178,7 @@
 
 BOOST_AUTO_TEST_CASE(TasksAreNotInterruptedBasedOnOldReports) {
   FleetFixture Fleet(3);
-  Fleet.Sim.submit("a", lastingJob(2));
+  Fleet.Sim.submit("a", longRunningJob(2));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
   Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 3));
@@ -191,7 +191,7 @@
 
 BOOST_AUTO_TEST_CASE(ARepeatedOrderEndsNoRuns) {
   FleetFixture Fleet(1);
-  Fleet.Sim.submit("a", lastingJob(1));
+  Fleet.Sim.submit("a", longRunningJob(1));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
   Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 1));
@@ -207,7 +207,7 @@
 
 BOOST_AUTO_TEST_CASE(RunsOfAMaintainedHostAreLostOnceTheListShowsIt) {
   FleetFixture Fleet(2);
-  Fleet.Sim.submit("a", lastingJob(1));
+  Fleet.Sim.submit("a", longRunningJob(1));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
   const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
@@ -243,7 +243,7 @@
 
 BOOST_AUTO_TEST_CASE(AHostWithTooManyTasksOfAStepIsDrainedTaskByTask) {
   FleetFixture Fleet(2);
-  jobs::JobSpec Spec = lastingJob(3);
+  jobs::JobSpec Spec = longRunningJob(3);
   Spec.Steps.front().MaxPerWorker = 0;
   Fleet.Sim.submit("a", Spec);
   Fleet.Sim.run(4s);
@@ -271,7 +271,7 @@
   // interrupted. Without a limit on the drain, its host would stay cordoned
   // while its capacity may be needed.
   FleetFixture Fleet(2);
-  Fleet.Sim.submit("a", lastingJob(2));
+  Fleet.Sim.submit("a", longRunningJob(2));
   Fleet.Sim.run(4s);
   Fleet.Sim.Workers[0].RunDuration = 60s;
   Fleet.Sim.Workers[1].crash(Fleet.Sim.Time.now(), Fleet.Sim.Observed);
@@ -352,7 +352,7 @@
   BOOST_TEST(Planner.plan(Instant(4s), Pools, {}, Hosts).Moves.size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(HostsWithLastingTasksAreNotMoved) {
+BOOST_AUTO_TEST_CASE(HostsWithLongRunningTasksAreNotMoved) {
   PoolPlanner Planner{PoolPlannerOptions()};
   const PoolName BusyPool("busy");
   const PoolName OtherPool("other");
@@ -362,7 +362,7 @@
     Hosts[Number].Pool = Number == 0 ? BusyPool : OtherPool;
     Hosts[Number].Capacity = {4000, 4000, 0};
     Hosts[Number].IsMovable = true;
-    Hosts[Number].HasLastingTask = Number != 0;
+    Hosts[Number].HasLongRunningTask = Number != 0;
   }
   const PoolPlan Plan =
       Planner.plan(Instant(1s), {{BusyPool}, {OtherPool}},
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -63,7 +63,7 @@
     }
     const auto Percent =
         Hangs ? 0
-              : (Run.Lasting
+              : (Run.LongRunning
                      ? 100
                      : static_cast<unsigned>(100 * (Now - Run.StartedAt) /
                                              (RunDuration + Duration(1))));
@@ -78,7 +78,7 @@
   return Report;
 }
 
-OrderOutcome FakeWorker::start(const StartOrder &Order, bool Lasting,
+OrderOutcome FakeWorker::start(const StartOrder &Order, bool LongRunning,
                                Instant Now, History &Observed) {
   if (Order.Token < HighestToken) {
     return OrderOutcome::Fenced;
@@ -104,7 +104,7 @@
     Paces[Order.Task] = 100;
   }
   Observed.Runs.push_back({Order.Task, Order.Run, Record.Instance.Id, Now});
-  Runs[Order.Task] = {Order.Run, Lasting, Now, Order.LeaseUntil,
+  Runs[Order.Task] = {Order.Run, LongRunning, Now, Order.LeaseUntil,
                       Observed.Runs.size() - 1};
   return OrderOutcome::Done;
 }
@@ -155,7 +155,7 @@
   for (auto RunIt = Runs.begin(); RunIt != Runs.end();) {
     const ActiveRun &Run = RunIt->second;
     const bool HasEnded =
-        !Run.Lasting && !Hangs && Now - Run.StartedAt >= RunDuration;
+        !Run.LongRunning && !Hangs && Now - Run.StartedAt >= RunDuration;
     const bool LeaseExpired = clock(Now) >= Run.LeaseUntil;
     if (!HasEnded && !LeaseExpired) {
       ++RunIt;
@@ -315,8 +315,8 @@
   PendingActions.push_back({Time.now() + Delay, std::move(Action)});
 }
 
-bool Simulation::isLasting(const TaskRef &Task) const {
-  return Specs.at(Task.Job).Steps[Task.Step].Lasting;
+bool Simulation::isLongRunning(const TaskRef &Task) const {
+  return Specs.at(Task.Job).Steps[Task.Step].LongRunning;
 }
 
 void Simulation::send(const WorkerOrder &Order) {
@@ -384,8 +384,8 @@
     FakeWorker &Worker = *find(Start->To.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
     if (IsReachable(Worker, Outcome)) {
-      Outcome =
-          Worker.start(*Start, isLasting(Start->Task), Time.now(), Observed);
+      Outcome = Worker.start(*Start, isLongRunning(Start->Task), Time.now(),
+                             Observed);
     }
     if (ReplyArrives) {
       JobDispatcher->startAnswered(*Start, Outcome);
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -60,7 +60,7 @@
 
   HoldReport hold(const HoldOrder &Order, Instant Now, OrderOutcome &Outcome,
                   History &Observed);
-  OrderOutcome start(const StartOrder &Order, bool Lasting, Instant Now,
+  OrderOutcome start(const StartOrder &Order, bool LongRunning, Instant Now,
                      History &Observed);
   OrderOutcome stop(const StopOrder &Order, Instant Now, History &Observed);
   OrderOutcome pace(const PaceOrder &Order);
@@ -77,7 +77,7 @@
   /// A run in progress.
   struct ActiveRun {
     std::uint32_t Number = 0;
-    bool Lasting = false;
+    bool LongRunning = false;
     Instant StartedAt{};
     WorkerClock LeaseUntil{};
     std::size_t TraceIndex = 0;
@@ -150,7 +150,7 @@
                std::int64_t IntendedIncarnation, bool SendsReply);
   FakeWorker *find(const std::string &Id);
   void schedule(Duration Delay, std::function<void()> Action);
-  bool isLasting(const TaskRef &Task) const;
+  bool isLongRunning(const TaskRef &Task) const;
 
   std::map<JobId, jobs::JobSpec> Specs;
   std::vector<jobs::JobEvent> RequestedEvents;
