--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -17,7 +17,7 @@
 
 /// Covers late timers and the network time of an order.
 constexpr Duration LeaseExpiryMargin = std::chrono::milliseconds(200);
-/// Pace, in percent, of fillers that an earlier lease holder may have
+/// Pace, in percent, of best-effort tasks that an earlier lease holder may have
 /// throttled.
 constexpr unsigned AdoptedPacePercent = 50;
 
@@ -41,14 +41,14 @@
 
 } // namespace
 
-bool WorkerState::hasFillersNextToServing() const {
+bool WorkerState::hasBestEffortNextToServing() const {
   bool HasServing = false;
-  bool HasFiller = false;
+  bool HasBestEffort = false;
   for (const auto &[Task, Run] : Runs) {
     HasServing = HasServing || Run.TailObjective > Duration::zero();
-    HasFiller = HasFiller || Run.Filler;
+    HasBestEffort = HasBestEffort || Run.BestEffort;
   }
-  return HasServing && HasFiller;
+  return HasServing && HasBestEffort;
 }
 
 bool WorkerState::hasLabel(const std::string &Label) const {
@@ -128,9 +128,9 @@
         const jobs::StepSpec &Spec = Job.spec().Steps[Step];
         Run.Claim = claimFor(Spec);
         Run.LongRunning = Spec.LongRunning;
-        Run.Filler = Spec.Filler;
+        Run.BestEffort = Spec.BestEffort;
         Run.TailObjective = Spec.TailObjective;
-        if (Run.Filler) {
+        if (Run.BestEffort) {
           Run.Pace.reset();
           Worker.TargetPace = {AdoptedPacePercent, TermStart};
         }
@@ -146,7 +146,7 @@
 
 Resources Dispatcher::claimFor(const jobs::StepSpec &Step) {
   Resources Claim = Step.RequestedResources;
-  if (Step.Filler) {
+  if (Step.BestEffort) {
     Claim.CpuMilli = 0;
   }
   return Claim;
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -101,13 +101,14 @@
 }
 
 void Dispatcher::orderPaces(WorkerState &Worker, Instant Now) {
-  // Fillers start at full pace, so most workers need no pace orders.
+  // Best-effort tasks start at full pace, so most workers need no pace orders.
   if (Worker.TargetPace.ChangedAt == Instant() || Now < Worker.NextPaceAt) {
     return;
   }
   for (auto &[Task, Run] : Worker.Runs) {
-    if (!Run.Filler || Run.Phase != RunPhase::Running || Run.StopRequested ||
-        Run.PaceInFlight || Run.Pace == Worker.TargetPace.Percent) {
+    if (!Run.BestEffort || Run.Phase != RunPhase::Running ||
+        Run.StopRequested || Run.PaceInFlight ||
+        Run.Pace == Worker.TargetPace.Percent) {
       continue;
     }
     Run.PaceInFlight = true;
@@ -135,9 +136,9 @@
         Worker.Runs.begin(), Worker.Runs.end(), [](const auto &Run) {
           return Run.second.LongRunning && Run.second.Percent == 0;
         });
-    Order.Wait = HasStartingRun                     ? Settings.StartingHoldWait
-                 : Worker.hasFillersNextToServing() ? Settings.SharedHoldWait
-                                                    : Settings.HoldWait;
+    Order.Wait = HasStartingRun ? Settings.StartingHoldWait
+                 : Worker.hasBestEffortNextToServing() ? Settings.SharedHoldWait
+                                                       : Settings.HoldWait;
   }
   // Leases of an unresponsive worker are not renewed; otherwise its runs could
   // never be declared lost.
--- a/Source/Dispatch/DispatcherPlan.cpp
+++ b/Source/Dispatch/DispatcherPlan.cpp
@@ -71,15 +71,15 @@
 }
 
 /// Score of a worker for a step; larger is better. Work is bin-packed so that
-/// other workers stay free for maintenance and moves. Long-running and fillers
-/// prefer workers that already have long-running tasks.
+/// other workers stay free for maintenance and moves. Long-running and
+/// best-effort tasks prefer workers that already have long-running tasks.
 double scoreWorker(const WorkerState &Worker, const StepSpec &Step) {
   const double Capacity = static_cast<double>(
       std::max<std::int64_t>(1, Worker.Record.Capacity.CpuMilli));
   const double Utilization =
       static_cast<double>(Worker.ClaimedResources.CpuMilli) / Capacity;
   double Score = Utilization;
-  if (Step.LongRunning || Step.Filler) {
+  if (Step.LongRunning || Step.BestEffort) {
     Score += static_cast<double>(
         std::count_if(Worker.Runs.begin(), Worker.Runs.end(),
                       [](const auto &Run) { return Run.second.LongRunning; }));
@@ -405,7 +405,7 @@
   NewRun.WorkerIncarnation = Worker.Record.Instance.Incarnation;
   NewRun.Claim = claimFor(Candidate.spec());
   NewRun.LongRunning = Candidate.spec().LongRunning;
-  NewRun.Filler = Candidate.spec().Filler;
+  NewRun.BestEffort = Candidate.spec().BestEffort;
   NewRun.TailObjective = Candidate.spec().TailObjective;
   if (const std::string *Ticket = Permits.findTicket(
           stepOf(Task), Worker.Record.Instance, Time.now())) {
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -277,7 +277,7 @@
 }
 
 void Dispatcher::adjustPace(WorkerState &Worker, Instant Now) {
-  if (!Worker.hasFillersNextToServing()) {
+  if (!Worker.hasBestEffortNextToServing()) {
     return;
   }
   TailReport Tails{0, Now};
@@ -289,7 +289,7 @@
                    std::chrono::duration<double>(Tail) / Run.TailObjective);
     }
   }
-  const FillerPace NewPace = nextPace(Worker.TargetPace, Tails);
+  const BestEffortPace NewPace = nextPace(Worker.TargetPace, Tails);
   if (NewPace.Percent != Worker.TargetPace.Percent) {
     Log.write(LogLevel::Info, "fillers-paced",
               {{"worker", Worker.Record.Instance.Id},
--- a/Source/Dispatch/Pacing.cpp
+++ b/Source/Dispatch/Pacing.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The feedback control of the pace of fillers.
+/// The feedback control of the pace of best-effort tasks.
 
 #include "balsamlatch/Dispatch/Pacing.h"
 
@@ -14,14 +14,15 @@
 constexpr Duration PaceEffectTime = std::chrono::milliseconds(650);
 /// Minimum time between two increases.
 constexpr Duration IncreasePeriod = std::chrono::milliseconds(1000);
-/// Tails as fractions of the objective: above CriticalRatio fillers stop, above
-/// ReduceRatio they slow down, below IncreaseRatio they speed up.
+/// Tails as fractions of the objective: above CriticalRatio best-effort tasks
+/// stop, above ReduceRatio they slow down, below IncreaseRatio they speed up.
 constexpr double CriticalRatio = 1.5;
 constexpr double ReduceRatio = 0.85;
 constexpr double IncreaseRatio = 0.6;
 constexpr unsigned FullPercent = 100;
 constexpr unsigned IncreasePercent = 20;
-/// Below this a filler makes little progress but still causes interference.
+/// Below this a best-effort task makes little progress but still causes
+/// interference.
 constexpr unsigned MinPercent = 10;
 
 unsigned reducedPercent(unsigned Percent, double TailRatio) {
@@ -34,7 +35,8 @@
 
 } // namespace
 
-FillerPace nextPace(const FillerPace &CurrentPace, const TailReport &Tails) {
+BestEffortPace nextPace(const BestEffortPace &CurrentPace,
+                        const TailReport &Tails) {
   const bool IsFirstChange = CurrentPace.ChangedAt == Instant();
   const Duration SinceChange = Tails.MeasuredAt - CurrentPace.ChangedAt;
   if (Tails.WorstTailRatio > ReduceRatio) {
@@ -42,7 +44,7 @@
         reducedPercent(CurrentPace.Percent, Tails.WorstTailRatio);
     return NewPercent != CurrentPace.Percent &&
                    (IsFirstChange || SinceChange >= PaceEffectTime)
-               ? FillerPace{NewPercent, Tails.MeasuredAt}
+               ? BestEffortPace{NewPercent, Tails.MeasuredAt}
                : CurrentPace;
   }
   if (Tails.WorstTailRatio < IncreaseRatio &&
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -39,8 +39,8 @@
   /// Long-poll time while a long-running task has not started its work, since only a
   /// reply shows that it has.
   Duration StartingHoldWait = std::chrono::milliseconds(250);
-  /// Long-poll time while fillers share a worker with serving tasks, since the
-  /// tail latencies in the replies control the pace of the fillers.
+  /// Long-poll time while best-effort tasks share a worker with serving tasks, since the
+  /// tail latencies in the replies control the pace of the best-effort tasks.
   Duration SharedHoldWait = std::chrono::milliseconds(400);
   /// Time between holds for a worker without runs.
   Duration IdleHoldPeriod = std::chrono::milliseconds(2000);
@@ -138,7 +138,7 @@
   void proposeEnd(WorkerState &Worker, const TaskRef &Task, RunState &Run,
                   jobs::RunOutcome End, const std::string &Checkpoint);
   static void releaseClaim(WorkerState &Worker, RunState &Run);
-  /// Resources that a run claims. Fillers claim no CPU.
+  /// Resources that a run claims. Best-effort tasks claim no CPU.
   static Resources claimFor(const jobs::StepSpec &Step);
   /// Counts consecutive failures, after which the worker is avoided.
   void updateWorkerHealth(WorkerState &Worker, const TaskRef &Task,
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -59,7 +59,7 @@
   auto operator<=>(const StopOrder &) const = default;
 };
 
-/// Throttles a filler to a percentage of its full speed.
+/// Throttles a best-effort task to a percentage of its full speed.
 struct PaceOrder {
   WorkerAddress To;
   FencingToken Token;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Pacing.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Pacing.h
@@ -1,9 +1,9 @@
 /// \file
-/// Controls how fast fillers run next to serving tasks. Both compete for more
-/// than the resources that are accounted for, by amounts that are not known and
-/// change within seconds. The observable effect is the tail latency of the
-/// serving tasks, so fillers slow down sharply when it rises and speed up again
-/// in small steps.
+/// Controls how fast best-effort tasks run next to serving tasks. Both compete
+/// for more than the resources that are accounted for, by amounts that are not
+/// known and change within seconds. The observable effect is the tail latency
+/// of the serving tasks, so best-effort tasks slow down sharply when it rises
+/// and speed up again in small steps.
 
 #ifndef BALSAMLATCH_DISPATCH_PACING_H
 #define BALSAMLATCH_DISPATCH_PACING_H
@@ -24,16 +24,17 @@
   auto operator<=>(const TailReport &) const = default;
 };
 
-/// The pace that applies to all fillers of a worker.
-struct FillerPace {
+/// The pace that applies to all best-effort tasks of a worker.
+struct BestEffortPace {
   unsigned Percent = 100;
   Instant ChangedAt{};
 
-  auto operator<=>(const FillerPace &) const = default;
+  auto operator<=>(const BestEffortPace &) const = default;
 };
 
 /// Returns the pace after a tail report.
-FillerPace nextPace(const FillerPace &CurrentPace, const TailReport &Tails);
+BestEffortPace nextPace(const BestEffortPace &CurrentPace,
+                        const TailReport &Tails);
 
 } // namespace balsamlatch::dispatch
 
--- a/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
@@ -34,7 +34,7 @@
   std::int64_t WorkerIncarnation = 0;
   Resources Claim;
   bool LongRunning = false;
-  bool Filler = false;
+  bool BestEffort = false;
   bool StopRequested = false;
   bool StopInFlight = false;
   /// When the worker confirmed a stop. It refuses a start that arrives after
@@ -53,8 +53,8 @@
   std::string Ticket;
   /// Tail latency objective of a serving task; zero for other tasks.
   Duration TailObjective{};
-  /// Pace of a filler in percent, as last confirmed by the worker; unset while
-  /// unknown.
+  /// Pace of a best-effort task in percent, as last confirmed by the worker;
+  /// unset while unknown.
   std::optional<unsigned> Pace = 100;
   bool PaceInFlight = false;
 };
@@ -95,8 +95,9 @@
   unsigned ConsecutiveFailures = 0;
   JobId LastFailedJob;
   unsigned AvoidanceDoublings = 0;
-  /// Desired pace of the fillers, and the earliest time of the next pace order.
-  FillerPace TargetPace;
+  /// Desired pace of the best-effort tasks, and the earliest time of the next
+  /// pace order.
+  BestEffortPace TargetPace;
   Instant NextPaceAt{};
   std::map<TaskRef, RunState> Runs;
   // Invariant: the sum of the claims of all Runs that are not in phase Ending.
@@ -112,9 +113,9 @@
     return FreeResources;
   }
   bool hasLabel(const std::string &Label) const;
-  /// Whether fillers share the worker with serving tasks, so that the tails of
-  /// the serving tasks control the pace of the fillers.
-  bool hasFillersNextToServing() const;
+  /// Whether best-effort tasks share the worker with serving tasks, so that the
+  /// tails of the serving tasks control the pace of the best-effort tasks.
+  bool hasBestEffortNextToServing() const;
   /// Whether new work may be placed on the worker.
   bool isUsable(Instant Now) const {
     return IsRegistered && HasReported && !IsUnresponsive && !IsCordoned &&
--- a/Source/Jobs/JournalCodec.cpp
+++ b/Source/Jobs/JournalCodec.cpp
@@ -19,7 +19,7 @@
   FlagSameRack = 4,
   FlagSpeculative = 8,
   FlagLongRunning = 16,
-  FlagFiller = 32,
+  FlagBestEffort = 32,
 };
 
 unsigned stepFlags(const StepSpec &Step) {
@@ -27,7 +27,7 @@
          (Step.Gang ? FlagGang : 0U) | (Step.SameRack ? FlagSameRack : 0U) |
          (Step.Speculative ? FlagSpeculative : 0U) |
          (Step.LongRunning ? FlagLongRunning : 0U) |
-         (Step.Filler ? FlagFiller : 0U);
+         (Step.BestEffort ? FlagBestEffort : 0U);
 }
 
 json::array stepArray(const StepSpec &Step) {
@@ -99,7 +99,7 @@
   Step.SameRack = (Flags & FlagSameRack) != 0;
   Step.Speculative = (Flags & FlagSpeculative) != 0;
   Step.LongRunning = (Flags & FlagLongRunning) != 0;
-  Step.Filler = (Flags & FlagFiller) != 0;
+  Step.BestEffort = (Flags & FlagBestEffort) != 0;
   return Step;
 }
 
--- a/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
+++ b/Source/Jobs/include/balsamlatch/Jobs/JobSpec.h
@@ -82,7 +82,7 @@
   bool LongRunning = false;
   /// Uses only idle processor time; RequestedResources.CpuMilli reserves no
   /// capacity.
-  bool Filler = false;
+  bool BestEffort = false;
 
   auto operator<=>(const StepSpec &) const = default;
 };
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -1,6 +1,6 @@
 /// \file
 /// Tests of the dispatcher with one kind of fault at a time, with placement
-/// policies, gangs and fillers.
+/// policies, gangs and best-effort tasks.
 
 #define BOOST_TEST_MODULE Dispatcher
 #include "Simulation.h"
@@ -446,19 +446,20 @@
 namespace {
 
 /// One worker with a serving task whose tail latency must stay below 100 ms,
-/// and two fillers that increase it.
-struct FillerSimulation : Simulation {
-  FillerSimulation() : Simulation(1) {
+/// and two best-effort tasks that increase it.
+struct BestEffortSimulation : Simulation {
+  BestEffortSimulation() : Simulation(1) {
     jobs::JobSpec ServingJob = longRunningJob(1);
     ServingJob.Steps.front().TailObjective = 100ms;
     submit("serving", ServingJob);
-    jobs::JobSpec FillerJob = longRunningJob(2);
-    FillerJob.Text = "filler";
-    FillerJob.Steps.front().MaxPerWorker = 0;
-    FillerJob.Steps.front().Filler = true;
-    submit("filler", FillerJob);
+    jobs::JobSpec BestEffortJob = longRunningJob(2);
+    BestEffortJob.Text = "filler";
+    BestEffortJob.Steps.front().MaxPerWorker = 0;
+    BestEffortJob.Steps.front().BestEffort = true;
+    submit("filler", BestEffortJob);
     Workers[0].TailLatency = [](unsigned TotalPace) -> std::int64_t {
-      return 40 + TotalPace * 2 / 3; // 173 ms with both fillers at full pace
+      return 40 + TotalPace * 2 /
+                      3; // 173 ms with both best-effort tasks at full pace
     };
   }
 
@@ -487,18 +488,19 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(FillersAreThrottledUntilServingTasksMeetTheirObjective) {
-  FillerSimulation Sim;
+BOOST_AUTO_TEST_CASE(
+    BestEffortTasksAreThrottledUntilServingTasksMeetTheirObjective) {
+  BestEffortSimulation Sim;
   BOOST_TEST((Sim.longestOver(10s) < 3s));
   BOOST_TEST(Sim.Workers[0].Paces.size() == 2);
-  // Without interference the fillers return to full pace.
+  // Without interference the best-effort tasks return to full pace.
   Sim.Workers[0].TailLatency = [](unsigned) -> std::int64_t { return 20; };
   Sim.run(10s);
   BOOST_TEST(Sim.pace() == 100);
 }
 
 BOOST_AUTO_TEST_CASE(APaceOrderWithoutAnswerIsRepeated) {
-  FillerSimulation Sim;
+  BestEffortSimulation Sim;
   unsigned LostCount = 0;
   Sim.LosesAnswer = [&](const WorkerOrder &Order) {
     return std::holds_alternative<PaceOrder>(Order) && ++LostCount <= 2;
@@ -506,8 +508,8 @@
   BOOST_TEST((Sim.longestOver(10s) < 4s));
 }
 
-BOOST_AUTO_TEST_CASE(ALaterHolderPacesFillersAnew) {
-  FillerSimulation Sim;
+BOOST_AUTO_TEST_CASE(ALaterHolderPacesBestEffortTasksAnew) {
+  BestEffortSimulation Sim;
   Sim.run(10s);
   Sim.startNewTerm();
   BOOST_TEST((Sim.longestOver(10s) < 3s));
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -68,8 +68,8 @@
                      : static_cast<unsigned>(100 * (Now - Run.StartedAt) /
                                              (RunDuration + Duration(1))));
     unsigned TotalPace = 0;
-    for (const auto &[Filler, Pace] : Paces) {
-      TotalPace += Runs.contains(Filler) ? Pace : 0;
+    for (const auto &[BestEffort, Pace] : Paces) {
+      TotalPace += Runs.contains(BestEffort) ? Pace : 0;
     }
     const std::int64_t Gauge =
         TailLatency && !Paces.contains(Task) ? TailLatency(TotalPace) : 0;
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -65,7 +65,7 @@
   OrderOutcome stop(const StopOrder &Order, Instant Now, History &Observed);
   OrderOutcome pace(const PaceOrder &Order);
   /// Tail latency of the serving tasks in milliseconds as a function of the sum
-  /// of the paces of all fillers; unset if fillers have no effect.
+  /// of the paces of all best-effort tasks; unset if best-effort tasks have no effect.
   std::function<std::int64_t(unsigned)> TailLatency;
   /// Paces of the runs whose SpecText is "filler".
   std::map<TaskRef, unsigned> Paces;
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -31,8 +31,9 @@
   BOOST_TEST(FirstStep.MaxPerWorker == 1);
   const jobs::StepSpec &SecondStep = Job->Steps[1];
   BOOST_TEST((SecondStep.PrerequisiteSteps == std::vector<unsigned>{0}));
-  BOOST_TEST((SecondStep.LongRunning && SecondStep.Filler && SecondStep.Gang &&
-              SecondStep.SameRack && SecondStep.Speculative));
+  BOOST_TEST((SecondStep.LongRunning && SecondStep.BestEffort &&
+              SecondStep.Gang && SecondStep.SameRack &&
+              SecondStep.Speculative));
   BOOST_TEST(SecondStep.MaxUnavailable == 2);
   BOOST_TEST((SecondStep.TailObjective == 40ms));
   BOOST_TEST(Job->RunSchedule.Repeats == 3);
