--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -82,10 +82,10 @@
     Holder &Controller;
     std::uint64_t Term;
 
-    void operator()(const dispatch::HoldOrder &Hold) const {
+    void operator()(const dispatch::RenewOrder &Renew) const {
       Controller.Workers.hold(
-          Hold,
-          [&Self = Controller, CallTerm = Term, Id = Hold.To.WorkerId,
+          Renew,
+          [&Self = Controller, CallTerm = Term, Id = Renew.To.WorkerId,
            SentAt = Controller.Time.now()](dispatch::OrderOutcome Outcome,
                                            const dispatch::HoldReport &Report) {
             if (CallTerm == Self.TermNumber) {
--- a/Source/Control/include/balsamlatch/Control/Ports.h
+++ b/Source/Control/include/balsamlatch/Control/Ports.h
@@ -21,7 +21,7 @@
       std::function<void(dispatch::OrderOutcome, dispatch::HoldReport)>;
 
   virtual ~WorkerPort() = default;
-  virtual void hold(const dispatch::HoldOrder &Order, HoldDone Callback) = 0;
+  virtual void hold(const dispatch::RenewOrder &Order, HoldDone Callback) = 0;
   virtual void start(const dispatch::StartOrder &Order, Done Callback) = 0;
   virtual void stop(const dispatch::StopOrder &Order, Done Callback) = 0;
   virtual void pace(const dispatch::PaceOrder &Order, Done Callback) = 0;
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -178,7 +178,7 @@
       setWorkerInstance(Worker, Record.Instance.Incarnation);
     }
     if (!Worker.IsRegistered) {
-      Worker.NextHoldAt = Time.now();
+      Worker.NextRenewalAt = Time.now();
     }
     Worker.Record = Record;
     Worker.IsRegistered = true;
@@ -232,7 +232,7 @@
                                      std::uint64_t Number) {
   if (Worker.EndsRecorded < Number) {
     Worker.EndsRecorded = Number;
-    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Time.now());
+    Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Time.now());
   }
 }
 
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -38,7 +38,7 @@
     }
     orderStops(Worker);
     orderPaces(Worker, Now);
-    orderHold(Worker, Now, MayRenew);
+    orderRenewal(Worker, Now, MayRenew);
   }
   if (MayPlace && PlanNeeded && Now >= NextPlanAt) {
     NextPlanAt = Now + PlanPeriod;
@@ -117,13 +117,13 @@
   }
 }
 
-void Dispatcher::orderHold(WorkerState &Worker, Instant Now, bool MayRenew) {
-  if (Worker.HoldInFlight || Now < Worker.NextHoldAt ||
+void Dispatcher::orderRenewal(WorkerState &Worker, Instant Now, bool MayRenew) {
+  if (Worker.RenewalInFlight || Now < Worker.NextRenewalAt ||
       Worker.Record.Address.Ip.empty() ||
       (!Worker.IsRegistered && Worker.Runs.empty())) {
     return;
   }
-  HoldOrder Order;
+  RenewOrder Order;
   Order.To = Worker.Record.Address;
   Order.Token = Token;
   Order.EndsRecorded = Worker.EndsRecorded;
@@ -136,9 +136,10 @@
         Worker.Runs.begin(), Worker.Runs.end(), [](const auto &Run) {
           return Run.second.LongRunning && Run.second.Percent == 0;
         });
-    Order.Wait = HasStartingRun ? Settings.StartingHoldWait
-                 : Worker.hasBestEffortNextToServing() ? Settings.SharedHoldWait
-                                                       : Settings.HoldWait;
+    Order.Wait = HasStartingRun ? Settings.StartingRenewalWait
+                 : Worker.hasBestEffortNextToServing()
+                     ? Settings.SharedRenewalWait
+                     : Settings.RenewalWait;
   }
   // Leases of an unresponsive worker are not renewed; otherwise its runs could
   // never be declared lost.
@@ -149,7 +150,7 @@
         std::chrono::duration_cast<WorkerClock>(Settings.RunLease);
     extendLeaseExpiry(Worker, Now);
   }
-  Worker.HoldInFlight = true;
+  Worker.RenewalInFlight = true;
   Orders.emplace_back(std::move(Order));
 }
 
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -26,10 +26,10 @@
 constexpr Duration PaceRetryDelay = std::chrono::milliseconds(200);
 /// Delay before the next permit query after one without a reply.
 constexpr Duration QueryRetryDelay = std::chrono::milliseconds(100);
-/// Delay before the next hold after one without a reply.
-constexpr Duration UnresponsiveHoldPeriod = std::chrono::milliseconds(250);
-/// Time between holds while reported ends are not recorded yet.
-constexpr Duration JournalLagHoldPeriod = std::chrono::milliseconds(500);
+/// Delay before the next renewal after one without a reply.
+constexpr Duration UnresponsiveRenewalPeriod = std::chrono::milliseconds(250);
+/// Time between renewals while reported ends are not recorded yet.
+constexpr Duration JournalLagRenewalPeriod = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -41,7 +41,7 @@
   }
   WorkerState &Worker = WorkerIt->second;
   const Instant Now = Time.now();
-  Worker.HoldInFlight = false;
+  Worker.RenewalInFlight = false;
   if (Outcome != OrderOutcome::Done) {
     Fenced = Fenced || Outcome == OrderOutcome::Fenced;
     if (!Worker.IsUnresponsive && Worker.HasReported) {
@@ -49,12 +49,12 @@
                 {{"worker", WorkerId}, {"outcome", static_cast<int>(Outcome)}});
     }
     Worker.IsUnresponsive = true;
-    Worker.NextHoldAt = Now + UnresponsiveHoldPeriod;
+    Worker.NextRenewalAt = Now + UnresponsiveRenewalPeriod;
     return;
   }
   if (Report.Incarnation != 0 &&
       Report.Incarnation < Worker.Record.Instance.Incarnation) {
-    Worker.NextHoldAt = Now; // the reply is from an earlier incarnation
+    Worker.NextRenewalAt = Now; // the reply is from an earlier incarnation
     return;
   }
   if (Report.Incarnation > Worker.Record.Instance.Incarnation) {
@@ -75,10 +75,10 @@
   processEndedRuns(Worker, Report);
   processRunningTasks(Worker, Report, SentAt);
   adjustPace(Worker, Now);
-  Worker.NextHoldAt = Now + (Worker.Runs.empty() ? Settings.IdleHoldPeriod
-                                                 : Settings.HoldPeriod);
+  Worker.NextRenewalAt = Now + (Worker.Runs.empty() ? Settings.IdleRenewalPeriod
+                                                    : Settings.RenewalPeriod);
   if (Worker.EndsSeen != Worker.EndsRecorded) {
-    Worker.NextHoldAt = Now + JournalLagHoldPeriod;
+    Worker.NextRenewalAt = Now + JournalLagRenewalPeriod;
   }
 }
 
@@ -240,11 +240,12 @@
     Run->Phase = RunPhase::Running;
     Run->StartedAt = Now;
     Run->PercentChangedAt = Now;
-    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Now + Settings.HoldPeriod);
+    Worker.NextRenewalAt =
+        std::min(Worker.NextRenewalAt, Now + Settings.RenewalPeriod);
     return;
   case OrderOutcome::Unknown:
     Run->Phase = RunPhase::Uncertain;
-    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Now);
+    Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Now);
     return;
   case OrderOutcome::NoRoom:
     Worker.AvoidUntil = Now + NoRoomDelay;
@@ -257,7 +258,7 @@
     break;
   case OrderOutcome::OtherWorker:
     Worker.HasReported = false;
-    Worker.NextHoldAt = Now;
+    Worker.NextRenewalAt = Now;
     break;
   case OrderOutcome::Fenced:
     Fenced = true;
@@ -265,7 +266,7 @@
   case OrderOutcome::TooLate:
   case OrderOutcome::OldRun:
   case OrderOutcome::Invalid:
-    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Now);
+    Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Now);
     break;
   }
   Log.write(LogLevel::Info, "start-refused",
@@ -352,7 +353,7 @@
   if (Outcome == OrderOutcome::Done || Outcome == OrderOutcome::OldRun) {
     Run->StopConfirmedAt = Time.now();
     WorkerState &Worker = Workers.at(Order.To.WorkerId);
-    Worker.NextHoldAt = std::min(Worker.NextHoldAt, Time.now());
+    Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Time.now());
   }
   Fenced = Fenced || Outcome == OrderOutcome::Fenced;
 }
--- a/Source/Dispatch/HostKeeper.cpp
+++ b/Source/Dispatch/HostKeeper.cpp
@@ -18,7 +18,7 @@
 constexpr Duration HostCycleEstimate = std::chrono::seconds(6);
 
 /// Reports older than this are not used. Workers with runs report at least once
-/// per HoldWait.
+/// per RenewalWait.
 constexpr Duration MaxReportAge = std::chrono::milliseconds(2000);
 
 bool isAtWork(const RunState &Run) {
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -33,20 +33,21 @@
   /// How long an earlier lease holder may have renewed run leases while it
   /// could not reach the store.
   Duration StorelessRenewal = std::chrono::seconds(6);
-  /// Long-poll time of a hold: how long the worker waits for a run to end
+  /// Long-poll time of a renewal: how long the worker waits for a run to end
   /// before it replies.
-  Duration HoldWait = std::chrono::milliseconds(1000);
-  /// Long-poll time while a long-running task has not started its work, since only a
-  /// reply shows that it has.
-  Duration StartingHoldWait = std::chrono::milliseconds(250);
-  /// Long-poll time while best-effort tasks share a worker with serving tasks, since the
-  /// tail latencies in the replies control the pace of the best-effort tasks.
-  Duration SharedHoldWait = std::chrono::milliseconds(400);
-  /// Time between holds for a worker without runs.
-  Duration IdleHoldPeriod = std::chrono::milliseconds(2000);
-  /// Time from a reply to the next hold for a worker with runs, so that ends
+  Duration RenewalWait = std::chrono::milliseconds(1000);
+  /// Long-poll time while a long-running task has not started its work, since
+  /// only a reply shows that it has.
+  Duration StartingRenewalWait = std::chrono::milliseconds(250);
+  /// Long-poll time while best-effort tasks share a worker with serving tasks,
+  /// since the tail latencies in the replies control the pace of the
+  /// best-effort tasks.
+  Duration SharedRenewalWait = std::chrono::milliseconds(400);
+  /// Time between renewals for a worker without runs.
+  Duration IdleRenewalPeriod = std::chrono::milliseconds(2000);
+  /// Time from a reply to the next renewal for a worker with runs, so that ends
   /// are reported in batches.
-  Duration HoldPeriod = std::chrono::milliseconds(20);
+  Duration RenewalPeriod = std::chrono::milliseconds(20);
   /// A run without progress for this long is stopped.
   Duration StallTimeout = std::chrono::milliseconds(2500);
   /// How long the state of a closed job is kept.
@@ -71,7 +72,7 @@
   /// The journal holds the events, and they are applied to the job table.
   void recorded(const std::vector<jobs::JobEvent> &RecordedEvents);
 
-  /// Take the outcome of an order, and for a hold the report of the worker.
+  /// Take the outcome of an order, and for a renewal the report of the worker.
   void holdAnswered(const std::string &WorkerId, Instant SentAt,
                     OrderOutcome Outcome, const HoldReport &Report);
   void startAnswered(const StartOrder &Order, OrderOutcome Outcome);
@@ -173,7 +174,7 @@
   void orderStops(WorkerState &Worker);
   void orderPaces(WorkerState &Worker, Instant Now);
   void adjustPace(WorkerState &Worker, Instant Now);
-  void orderHold(WorkerState &Worker, Instant Now, bool MayRenew);
+  void orderRenewal(WorkerState &Worker, Instant Now, bool MayRenew);
   void orderStart(WorkerState &Worker, const TaskRef &Task, RunState &Run);
   /// Raises LeasesExpireAt for leases that are granted at \p Now.
   void extendLeaseExpiry(WorkerState &Worker, Instant Now);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -21,7 +21,7 @@
 
 /// Renews the leases of all runs and asks for a report of running and ended
 /// tasks.
-struct HoldOrder {
+struct RenewOrder {
   WorkerAddress To;
   FencingToken Token;
   /// Ends up to this number are recorded, so the worker may forget them.
@@ -31,7 +31,7 @@
   /// How long the worker may wait for a run to end before it replies.
   Duration Wait{};
 
-  auto operator<=>(const HoldOrder &) const = default;
+  auto operator<=>(const RenewOrder &) const = default;
 };
 
 /// Starts a run of a task.
@@ -70,14 +70,15 @@
   auto operator<=>(const PaceOrder &) const = default;
 };
 
-using WorkerOrder = std::variant<HoldOrder, StartOrder, StopOrder, PaceOrder>;
+using WorkerOrder = std::variant<RenewOrder, StartOrder, StopOrder, PaceOrder>;
 
 /// A run that is in progress on the worker.
 struct RunningTask {
   TaskRef Task;
   std::uint32_t Run = 0;
   std::string Checkpoint;
-  /// Progress of a task that ends by itself; 100 for a long-running task at work.
+  /// Progress of a task that ends by itself; 100 for a long-running task at
+  /// work.
   unsigned Percent = 0;
   /// Tail latency of a serving task in milliseconds; CPU in use otherwise.
   std::int64_t Gauge = 0;
@@ -97,7 +98,7 @@
   auto operator<=>(const EndedTask &) const = default;
 };
 
-/// A worker's reply to a hold.
+/// A worker's reply to a renewal.
 struct HoldReport {
   WorkerClock Clock{};
   /// Identifies the incarnation of the worker; each restart raises it.
--- a/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
@@ -64,16 +64,16 @@
   WorkerRecord Record;
   /// Registered at present.
   bool IsRegistered = false;
-  /// Has replied to a hold in this term.
+  /// Has replied to a renewal in this term.
   bool HasReported = false;
-  /// The last hold failed or got no reply.
+  /// The last renewal failed or got no reply.
   bool IsUnresponsive = false;
   /// Excluded from placement for maintenance or a move.
   bool IsCordoned = false;
   /// An order that ends all of its runs is open for its host.
   bool HostOrderPending = false;
-  bool HoldInFlight = false;
-  Instant NextHoldAt{};
+  bool RenewalInFlight = false;
+  Instant NextRenewalAt{};
   Instant LastReportAt{};
   WorkerClock Clock{};
   /// Consecutive host lists without a host for this worker.
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -35,7 +35,7 @@
   return Spec;
 }
 
-HoldReport FakeWorker::hold(const HoldOrder &Order, Instant Now,
+HoldReport FakeWorker::hold(const RenewOrder &Order, Instant Now,
                             OrderOutcome &Outcome, History &Observed) {
   if (Order.Token < HighestToken) {
     Outcome = OrderOutcome::Fenced;
@@ -343,8 +343,8 @@
     if (SenderTerm != Term) {
       return;
     }
-    if (const auto *Hold = std::get_if<HoldOrder>(&Order)) {
-      JobDispatcher->holdAnswered(Hold->To.WorkerId, Time.now() - ReplyTimeout,
+    if (const auto *Renew = std::get_if<RenewOrder>(&Order)) {
+      JobDispatcher->holdAnswered(Renew->To.WorkerId, Time.now() - ReplyTimeout,
                                   OrderOutcome::Unknown, {});
     } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
       JobDispatcher->startAnswered(*Start, OrderOutcome::Unknown);
@@ -370,15 +370,15 @@
   };
   const bool ReplyArrives = SendsReply && SenderTerm == Term;
   const Instant SentAt = Time.now() - NetworkDelay;
-  if (const auto *Hold = std::get_if<HoldOrder>(&Order)) {
-    FakeWorker &Worker = *find(Hold->To.WorkerId);
+  if (const auto *Renew = std::get_if<RenewOrder>(&Order)) {
+    FakeWorker &Worker = *find(Renew->To.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
     HoldReport Report;
     if (IsReachable(Worker, Outcome)) {
-      Report = Worker.hold(*Hold, Time.now(), Outcome, Observed);
+      Report = Worker.hold(*Renew, Time.now(), Outcome, Observed);
     }
     if (ReplyArrives) {
-      JobDispatcher->holdAnswered(Hold->To.WorkerId, SentAt, Outcome, Report);
+      JobDispatcher->holdAnswered(Renew->To.WorkerId, SentAt, Outcome, Report);
     }
   } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
     FakeWorker &Worker = *find(Start->To.WorkerId);
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -58,14 +58,15 @@
   /// Start orders must carry this ticket; empty for none.
   std::string RequiredTicket;
 
-  HoldReport hold(const HoldOrder &Order, Instant Now, OrderOutcome &Outcome,
+  HoldReport hold(const RenewOrder &Order, Instant Now, OrderOutcome &Outcome,
                   History &Observed);
   OrderOutcome start(const StartOrder &Order, bool LongRunning, Instant Now,
                      History &Observed);
   OrderOutcome stop(const StopOrder &Order, Instant Now, History &Observed);
   OrderOutcome pace(const PaceOrder &Order);
   /// Tail latency of the serving tasks in milliseconds as a function of the sum
-  /// of the paces of all best-effort tasks; unset if best-effort tasks have no effect.
+  /// of the paces of all best-effort tasks; unset if best-effort tasks have no
+  /// effect.
   std::function<std::int64_t(unsigned)> TailLatency;
   /// Paces of the runs whose SpecText is "filler".
   std::map<TaskRef, unsigned> Paces;
