--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -83,16 +83,16 @@
     std::uint64_t Term;
 
     void operator()(const dispatch::RenewOrder &Renew) const {
-      Controller.Workers.hold(
-          Renew,
-          [&Self = Controller, CallTerm = Term, Id = Renew.To.WorkerId,
-           SentAt = Controller.Time.now()](dispatch::OrderOutcome Outcome,
-                                           const dispatch::HoldReport &Report) {
-            if (CallTerm == Self.TermNumber) {
-              Self.JobDispatcher.holdAnswered(Id, SentAt, Outcome, Report);
-              Self.appendEvents();
-            }
-          });
+      Controller.Workers.hold(Renew, [&Self = Controller, CallTerm = Term,
+                                      Id = Renew.To.WorkerId,
+                                      SentAt = Controller.Time.now()](
+                                         dispatch::OrderOutcome Outcome,
+                                         const dispatch::RenewReport &Report) {
+        if (CallTerm == Self.TermNumber) {
+          Self.JobDispatcher.holdAnswered(Id, SentAt, Outcome, Report);
+          Self.appendEvents();
+        }
+      });
     }
     void operator()(const dispatch::StartOrder &Start) const {
       Controller.Workers.start(Start, [&Self = Controller, CallTerm = Term,
--- a/Source/Control/include/balsamlatch/Control/Ports.h
+++ b/Source/Control/include/balsamlatch/Control/Ports.h
@@ -18,7 +18,7 @@
 public:
   using Done = std::function<void(dispatch::OrderOutcome)>;
   using HoldDone =
-      std::function<void(dispatch::OrderOutcome, dispatch::HoldReport)>;
+      std::function<void(dispatch::OrderOutcome, dispatch::RenewReport)>;
 
   virtual ~WorkerPort() = default;
   virtual void hold(const dispatch::RenewOrder &Order, HoldDone Callback) = 0;
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -34,7 +34,7 @@
 } // namespace
 
 void Dispatcher::holdAnswered(const std::string &WorkerId, Instant SentAt,
-                              OrderOutcome Outcome, const HoldReport &Report) {
+                              OrderOutcome Outcome, const RenewReport &Report) {
   const auto WorkerIt = Workers.find(WorkerId);
   if (Table == nullptr || WorkerIt == Workers.end()) {
     return;
@@ -83,7 +83,7 @@
 }
 
 void Dispatcher::processEndedRuns(WorkerState &Worker,
-                                  const HoldReport &Report) {
+                                  const RenewReport &Report) {
   for (const EndedTask &EndedRun : Report.Ended) {
     if (EndedRun.Number <= Worker.EndsSeen) {
       continue;
@@ -147,7 +147,8 @@
 }
 
 void Dispatcher::processRunningTasks(WorkerState &Worker,
-                                     const HoldReport &Report, Instant SentAt) {
+                                     const RenewReport &Report,
+                                     Instant SentAt) {
   std::set<TaskRef> ReportedTasks;
   for (const RunningTask &ReportedRun : Report.Running) {
     const auto RunIt = Worker.Runs.find(ReportedRun.Task);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -74,7 +74,7 @@
 
   /// Take the outcome of an order, and for a renewal the report of the worker.
   void holdAnswered(const std::string &WorkerId, Instant SentAt,
-                    OrderOutcome Outcome, const HoldReport &Report);
+                    OrderOutcome Outcome, const RenewReport &Report);
   void startAnswered(const StartOrder &Order, OrderOutcome Outcome);
   void stopAnswered(const StopOrder &Order, OrderOutcome Outcome);
   void paceAnswered(const PaceOrder &Order, OrderOutcome Outcome);
@@ -155,11 +155,11 @@
   /// Switches to another incarnation of the worker; runs of earlier ones are
   /// lost.
   void setWorkerInstance(WorkerState &Worker, std::int64_t Incarnation);
-  void processEndedRuns(WorkerState &Worker, const HoldReport &Report);
+  void processEndedRuns(WorkerState &Worker, const RenewReport &Report);
   /// Handles the end of a run that is no longer tracked, such as one that was
   /// declared lost.
   void processLateEnd(const EndedTask &EndedRun);
-  void processRunningTasks(WorkerState &Worker, const HoldReport &Report,
+  void processRunningTasks(WorkerState &Worker, const RenewReport &Report,
                            Instant SentAt);
   /// Declares runs lost that are missing from a report and can't start later.
   void resolveMissingRuns(WorkerState &Worker,
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -99,14 +99,14 @@
 };
 
 /// A worker's reply to a renewal.
-struct HoldReport {
+struct RenewReport {
   WorkerClock Clock{};
   /// Identifies the incarnation of the worker; each restart raises it.
   std::int64_t Incarnation = 0;
   std::vector<RunningTask> Running;
   std::vector<EndedTask> Ended;
 
-  auto operator<=>(const HoldReport &) const = default;
+  auto operator<=>(const RenewReport &) const = default;
 };
 
 /// The outcome of an order. All but Done and Unknown mean that it was not
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -35,8 +35,8 @@
   return Spec;
 }
 
-HoldReport FakeWorker::hold(const RenewOrder &Order, Instant Now,
-                            OrderOutcome &Outcome, History &Observed) {
+RenewReport FakeWorker::hold(const RenewOrder &Order, Instant Now,
+                             OrderOutcome &Outcome, History &Observed) {
   if (Order.Token < HighestToken) {
     Outcome = OrderOutcome::Fenced;
     return {};
@@ -53,7 +53,7 @@
   if (Order.LeaseUntil) {
     LeaseUntil = std::max(LeaseUntil, *Order.LeaseUntil);
   }
-  HoldReport Report;
+  RenewReport Report;
   Report.Clock = clock(Now);
   Report.Incarnation = Record.Instance.Incarnation;
   Report.Ended = Ends;
@@ -373,7 +373,7 @@
   if (const auto *Renew = std::get_if<RenewOrder>(&Order)) {
     FakeWorker &Worker = *find(Renew->To.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
-    HoldReport Report;
+    RenewReport Report;
     if (IsReachable(Worker, Outcome)) {
       Report = Worker.hold(*Renew, Time.now(), Outcome, Observed);
     }
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -121,8 +121,8 @@
              "5c0e7a21d94b36f8.0.1");
 }
 
-BOOST_AUTO_TEST_CASE(HoldReportIsDecoded) {
-  const auto Report = decodeHoldReport(
+BOOST_AUTO_TEST_CASE(RenewReportIsDecoded) {
+  const auto Report = decodeRenewReport(
       R"({"clock_ms":9,"born":4,"running_tasks":[)"
       R"(["5c0e7a21d94b36f8.0.1.17",2,"c",41,7],["odd",1,"",0]],)"
       R"("ended_tasks":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],)"
@@ -133,7 +133,7 @@
   BOOST_TEST(Report->Running[0].Gauge == 7);
   BOOST_TEST((Report->Ended[0].Outcome == jobs::RunOutcome::Done));
   BOOST_TEST((Report->Ended[1].Outcome == jobs::RunOutcome::Lost));
-  BOOST_TEST(!decodeHoldReport("{\"running_tasks\":[[1]]}").ok());
+  BOOST_TEST(!decodeRenewReport("{\"running_tasks\":[[1]]}").ok());
 }
 
 BOOST_AUTO_TEST_CASE(TaskNamesRoundTrip) {
