--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -83,11 +83,11 @@
     std::uint64_t Term;
 
     void operator()(const dispatch::RenewOrder &Renew) const {
-      Controller.Workers.hold(Renew, [&Self = Controller, CallTerm = Term,
-                                      Id = Renew.To.WorkerId,
-                                      SentAt = Controller.Time.now()](
-                                         dispatch::OrderOutcome Outcome,
-                                         const dispatch::RenewReport &Report) {
+      Controller.Workers.renew(Renew, [&Self = Controller, CallTerm = Term,
+                                       Id = Renew.To.WorkerId,
+                                       SentAt = Controller.Time.now()](
+                                          dispatch::OrderOutcome Outcome,
+                                          const dispatch::RenewReport &Report) {
         if (CallTerm == Self.TermNumber) {
           Self.JobDispatcher.holdAnswered(Id, SentAt, Outcome, Report);
           Self.appendEvents();
--- a/Source/Control/include/balsamlatch/Control/Ports.h
+++ b/Source/Control/include/balsamlatch/Control/Ports.h
@@ -21,8 +21,8 @@
       std::function<void(dispatch::OrderOutcome, dispatch::RenewReport)>;
 
   virtual ~WorkerPort() = default;
-  virtual void hold(const dispatch::RenewOrder &Order,
-                    RenewCallback Callback) = 0;
+  virtual void renew(const dispatch::RenewOrder &Order,
+                     RenewCallback Callback) = 0;
   virtual void start(const dispatch::StartOrder &Order, Done Callback) = 0;
   virtual void stop(const dispatch::StopOrder &Order, Done Callback) = 0;
   virtual void pace(const dispatch::PaceOrder &Order, Done Callback) = 0;
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -25,7 +25,7 @@
 /// Workers that never reply; no job of these tests needs to run.
 class UnresponsiveWorkers final : public WorkerPort {
 public:
-  void hold(const dispatch::RenewOrder &, RenewCallback) override {}
+  void renew(const dispatch::RenewOrder &, RenewCallback) override {}
   void start(const dispatch::StartOrder &, Done) override {}
   void stop(const dispatch::StopOrder &, Done) override {}
   void pace(const dispatch::PaceOrder &, Done) override {}
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -35,8 +35,8 @@
   return Spec;
 }
 
-RenewReport FakeWorker::hold(const RenewOrder &Order, Instant Now,
-                             OrderOutcome &Outcome, History &Observed) {
+RenewReport FakeWorker::renew(const RenewOrder &Order, Instant Now,
+                              OrderOutcome &Outcome, History &Observed) {
   if (Order.Token < HighestToken) {
     Outcome = OrderOutcome::Fenced;
     return {};
@@ -375,7 +375,7 @@
     OrderOutcome Outcome = OrderOutcome::Unknown;
     RenewReport Report;
     if (IsReachable(Worker, Outcome)) {
-      Report = Worker.hold(*Renew, Time.now(), Outcome, Observed);
+      Report = Worker.renew(*Renew, Time.now(), Outcome, Observed);
     }
     if (ReplyArrives) {
       JobDispatcher->holdAnswered(Renew->To.WorkerId, SentAt, Outcome, Report);
--- a/Tests/Dispatch/Simulation.h
+++ b/Tests/Dispatch/Simulation.h
@@ -58,8 +58,8 @@
   /// Start orders must carry this ticket; empty for none.
   std::string RequiredTicket;
 
-  RenewReport hold(const RenewOrder &Order, Instant Now, OrderOutcome &Outcome,
-                   History &Observed);
+  RenewReport renew(const RenewOrder &Order, Instant Now, OrderOutcome &Outcome,
+                    History &Observed);
   OrderOutcome start(const StartOrder &Order, bool LongRunning, Instant Now,
                      History &Observed);
   OrderOutcome stop(const StopOrder &Order, Instant Now, History &Observed);
