--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -89,7 +89,7 @@
                                           dispatch::OrderOutcome Outcome,
                                           const dispatch::RenewReport &Report) {
         if (CallTerm == Self.TermNumber) {
-          Self.JobDispatcher.holdAnswered(Id, SentAt, Outcome, Report);
+          Self.JobDispatcher.handleRenewReply(Id, SentAt, Outcome, Report);
           Self.appendEvents();
         }
       });
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -33,8 +33,9 @@
 
 } // namespace
 
-void Dispatcher::holdAnswered(const std::string &WorkerId, Instant SentAt,
-                              OrderOutcome Outcome, const RenewReport &Report) {
+void Dispatcher::handleRenewReply(const std::string &WorkerId, Instant SentAt,
+                                  OrderOutcome Outcome,
+                                  const RenewReport &Report) {
   const auto WorkerIt = Workers.find(WorkerId);
   if (Table == nullptr || WorkerIt == Workers.end()) {
     return;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -73,8 +73,8 @@
   void recorded(const std::vector<jobs::JobEvent> &RecordedEvents);
 
   /// Take the outcome of an order, and for a renewal the report of the worker.
-  void holdAnswered(const std::string &WorkerId, Instant SentAt,
-                    OrderOutcome Outcome, const RenewReport &Report);
+  void handleRenewReply(const std::string &WorkerId, Instant SentAt,
+                        OrderOutcome Outcome, const RenewReport &Report);
   void startAnswered(const StartOrder &Order, OrderOutcome Outcome);
   void stopAnswered(const StopOrder &Order, OrderOutcome Outcome);
   void paceAnswered(const PaceOrder &Order, OrderOutcome Outcome);
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -344,8 +344,9 @@
       return;
     }
     if (const auto *Renew = std::get_if<RenewOrder>(&Order)) {
-      JobDispatcher->holdAnswered(Renew->To.WorkerId, Time.now() - ReplyTimeout,
-                                  OrderOutcome::Unknown, {});
+      JobDispatcher->handleRenewReply(Renew->To.WorkerId,
+                                      Time.now() - ReplyTimeout,
+                                      OrderOutcome::Unknown, {});
     } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
       JobDispatcher->startAnswered(*Start, OrderOutcome::Unknown);
     } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
@@ -378,7 +379,8 @@
       Report = Worker.renew(*Renew, Time.now(), Outcome, Observed);
     }
     if (ReplyArrives) {
-      JobDispatcher->holdAnswered(Renew->To.WorkerId, SentAt, Outcome, Report);
+      JobDispatcher->handleRenewReply(Renew->To.WorkerId, SentAt, Outcome,
+                                      Report);
     }
   } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
     FakeWorker &Worker = *find(Start->To.WorkerId);
