--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -98,7 +98,7 @@
       Controller.Workers.start(Start, [&Self = Controller, CallTerm = Term,
                                        Start](dispatch::OrderOutcome Outcome) {
         if (CallTerm == Self.TermNumber) {
-          Self.JobDispatcher.startAnswered(Start, Outcome);
+          Self.JobDispatcher.handleStartReply(Start, Outcome);
         }
       });
     }
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -227,7 +227,8 @@
   }
 }
 
-void Dispatcher::startAnswered(const StartOrder &Order, OrderOutcome Outcome) {
+void Dispatcher::handleStartReply(const StartOrder &Order,
+                                  OrderOutcome Outcome) {
   RunState *Run = Table == nullptr
                       ? nullptr
                       : findRun(Order.To.WorkerId, Order.Task, Order.Run);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -75,7 +75,7 @@
   /// Take the outcome of an order, and for a renewal the report of the worker.
   void handleRenewReply(const std::string &WorkerId, Instant SentAt,
                         OrderOutcome Outcome, const RenewReport &Report);
-  void startAnswered(const StartOrder &Order, OrderOutcome Outcome);
+  void handleStartReply(const StartOrder &Order, OrderOutcome Outcome);
   void stopAnswered(const StopOrder &Order, OrderOutcome Outcome);
   void paceAnswered(const PaceOrder &Order, OrderOutcome Outcome);
 
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -348,7 +348,7 @@
                                       Time.now() - ReplyTimeout,
                                       OrderOutcome::Unknown, {});
     } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
-      JobDispatcher->startAnswered(*Start, OrderOutcome::Unknown);
+      JobDispatcher->handleStartReply(*Start, OrderOutcome::Unknown);
     } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
       JobDispatcher->stopAnswered(*Stop, OrderOutcome::Unknown);
     } else {
@@ -390,7 +390,7 @@
                              Observed);
     }
     if (ReplyArrives) {
-      JobDispatcher->startAnswered(*Start, Outcome);
+      JobDispatcher->handleStartReply(*Start, Outcome);
     }
   } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
     FakeWorker &Worker = *find(Stop->To.WorkerId);
