--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -106,7 +106,7 @@
       Controller.Workers.stop(Stop, [&Self = Controller, CallTerm = Term,
                                      Stop](dispatch::OrderOutcome Outcome) {
         if (CallTerm == Self.TermNumber) {
-          Self.JobDispatcher.stopAnswered(Stop, Outcome);
+          Self.JobDispatcher.handleStopReply(Stop, Outcome);
         }
       });
     }
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -345,7 +345,7 @@
              {"answered", Reply.has_value()}});
 }
 
-void Dispatcher::stopAnswered(const StopOrder &Order, OrderOutcome Outcome) {
+void Dispatcher::handleStopReply(const StopOrder &Order, OrderOutcome Outcome) {
   RunState *Run = Table == nullptr
                       ? nullptr
                       : findRun(Order.To.WorkerId, Order.Task, Order.Run);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -76,7 +76,7 @@
   void handleRenewReply(const std::string &WorkerId, Instant SentAt,
                         OrderOutcome Outcome, const RenewReport &Report);
   void handleStartReply(const StartOrder &Order, OrderOutcome Outcome);
-  void stopAnswered(const StopOrder &Order, OrderOutcome Outcome);
+  void handleStopReply(const StopOrder &Order, OrderOutcome Outcome);
   void paceAnswered(const PaceOrder &Order, OrderOutcome Outcome);
 
   /// Does all work that is due. Call after other inputs, and at least every
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -350,7 +350,7 @@
     } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
       JobDispatcher->handleStartReply(*Start, OrderOutcome::Unknown);
     } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
-      JobDispatcher->stopAnswered(*Stop, OrderOutcome::Unknown);
+      JobDispatcher->handleStopReply(*Stop, OrderOutcome::Unknown);
     } else {
       JobDispatcher->paceAnswered(std::get<PaceOrder>(Order),
                                   OrderOutcome::Unknown);
@@ -399,7 +399,7 @@
       Outcome = Worker.stop(*Stop, Time.now(), Observed);
     }
     if (ReplyArrives) {
-      JobDispatcher->stopAnswered(*Stop, Outcome);
+      JobDispatcher->handleStopReply(*Stop, Outcome);
     }
   } else {
     const auto &Pace = std::get<PaceOrder>(Order);
