--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -114,7 +114,7 @@
       Controller.Workers.pace(Pace, [&Self = Controller, CallTerm = Term,
                                      Pace](dispatch::OrderOutcome Outcome) {
         if (CallTerm == Self.TermNumber) {
-          Self.JobDispatcher.paceAnswered(Pace, Outcome);
+          Self.JobDispatcher.handlePaceReply(Pace, Outcome);
         }
       });
     }
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -305,7 +305,7 @@
   Worker.TargetPace = NewPace;
 }
 
-void Dispatcher::paceAnswered(const PaceOrder &Order, OrderOutcome Outcome) {
+void Dispatcher::handlePaceReply(const PaceOrder &Order, OrderOutcome Outcome) {
   RunState *Run = Table == nullptr
                       ? nullptr
                       : findRun(Order.To.WorkerId, Order.Task, Order.Run);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -77,7 +77,7 @@
                         OrderOutcome Outcome, const RenewReport &Report);
   void handleStartReply(const StartOrder &Order, OrderOutcome Outcome);
   void handleStopReply(const StopOrder &Order, OrderOutcome Outcome);
-  void paceAnswered(const PaceOrder &Order, OrderOutcome Outcome);
+  void handlePaceReply(const PaceOrder &Order, OrderOutcome Outcome);
 
   /// Does all work that is due. Call after other inputs, and at least every
   /// 20 ms. Without \p MayPlace no new run is proposed; without \p MayRenew no
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -352,8 +352,8 @@
     } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
       JobDispatcher->handleStopReply(*Stop, OrderOutcome::Unknown);
     } else {
-      JobDispatcher->paceAnswered(std::get<PaceOrder>(Order),
-                                  OrderOutcome::Unknown);
+      JobDispatcher->handlePaceReply(std::get<PaceOrder>(Order),
+                                     OrderOutcome::Unknown);
     }
   });
 }
@@ -409,7 +409,7 @@
       Outcome = Worker.pace(Pace);
     }
     if (ReplyArrives) {
-      JobDispatcher->paceAnswered(Pace, Outcome);
+      JobDispatcher->handlePaceReply(Pace, Outcome);
     }
   }
 }
