--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -70,10 +70,10 @@
       Log.write(LogLevel::Warning, "policy-unanswered",
                 {{"job", Query.Step.Job.Text},
                  {"why", std::string(Reply.status().message())}});
-      JobDispatcher.queryAnswered(Query, SentAt, std::nullopt);
+      JobDispatcher.handleQueryReply(Query, SentAt, std::nullopt);
       return;
     }
-    JobDispatcher.queryAnswered(Query, SentAt, *std::move(Reply));
+    JobDispatcher.handleQueryReply(Query, SentAt, *std::move(Reply));
   });
 }
 
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -324,8 +324,8 @@
   Workers.at(Order.To.WorkerId).NextPaceAt = Time.now() + PaceRetryDelay;
 }
 
-void Dispatcher::queryAnswered(const PermitQuery &Query, Instant AskedAt,
-                               const std::optional<PermitReply> &Reply) {
+void Dispatcher::handleQueryReply(const PermitQuery &Query, Instant AskedAt,
+                                  const std::optional<PermitReply> &Reply) {
   if (Table == nullptr) {
     return;
   }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -93,8 +93,8 @@
   std::vector<PermitQuery> takeQueries();
   void limitQueries(std::size_t Limit) { QueryLimit = Limit; }
   /// \p Reply is unset if the policy service did not reply.
-  void queryAnswered(const PermitQuery &Query, Instant AskedAt,
-                     const std::optional<PermitReply> &Reply);
+  void handleQueryReply(const PermitQuery &Query, Instant AskedAt,
+                        const std::optional<PermitReply> &Reply);
 
   /// Whether a worker has seen a higher fencing token, which ends this term.
   bool fenced() const { return Fenced; }
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -266,7 +266,7 @@
   schedule(Query.Expected + NetworkDelay,
            [this, Query, SenderTerm = Term, AskedAt = Time.now()] {
              if (SenderTerm == Term) {
-               JobDispatcher->queryAnswered(Query, AskedAt, Policy(Query));
+               JobDispatcher->handleQueryReply(Query, AskedAt, Policy(Query));
              }
            });
 }
