--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -83,16 +83,17 @@
 HostControl::HostControl(EventLoop &CallbackLoop, const Clock &TimeSource,
                          LogSink &Sink, RecordStore &Backend,
                          HostPort &HostAdapter, Holder &Controller,
-                         dispatch::HostKeeperOptions Options,
+                         dispatch::HostSchedulerOptions Options,
                          WaveReportFormat ReportFormat)
     : Loop(CallbackLoop), Time(TimeSource), Log(Sink), Store(Backend),
       Hosts(HostAdapter), LocalController(Controller),
-      WaveReports(std::move(ReportFormat)), Keeper(TimeSource, Options, Sink) {}
+      WaveReports(std::move(ReportFormat)),
+      Scheduler(TimeSource, Options, Sink) {}
 
 void HostControl::begin() {
   ++Term;
   IsLeading = true;
-  Keeper.begin();
+  Scheduler.begin();
   StoredValues.clear();
   StoredValuesLoaded = false;
   ListInFlight = false;
@@ -108,7 +109,7 @@
   loadStoredValues(StatusPrefix, [this] {
     loadStoredValues(std::string(FleetPrefix), [this] {
       StoredValuesLoaded = true;
-      Keeper.setEarlierOrders(
+      Scheduler.setEarlierOrders(
           decodeOrders(StoredValues[std::string(OrdersKey)]));
       addOpenWaves();
     });
@@ -157,7 +158,7 @@
     const auto StoredValue = StoredValues.find(WaveReports.Key(Wave.Number));
     const bool IsCompleted = StoredValue != StoredValues.end() &&
                              StoredValue->second == WaveReports.Value(true);
-    if (!IsCompleted && !Keeper.hasWave(Wave.Number)) {
+    if (!IsCompleted && !Scheduler.hasWave(Wave.Number)) {
       resumeWave(Wave);
     }
   }
@@ -182,8 +183,8 @@
                  {"why", std::string(Progress.status().message())}});
     }
   }
-  Keeper.addWave(Wave, Time.wallNow() - FirstSeen);
-  Keeper.addDone(Wave.Number, CompletedHosts);
+  Scheduler.addWave(Wave, Time.wallNow() - FirstSeen);
+  Scheduler.addDone(Wave.Number, CompletedHosts);
   reportWave(Wave.Number, false);
 }
 
@@ -196,8 +197,8 @@
   }
   if (LocalController.holdsLease() && Config != nullptr) {
     for (const dispatch::HostDecision &Decision :
-         Keeper.decide(LocalController.dispatcher(), LocalController.jobTable(),
-                       *Config)) {
+         Scheduler.decide(LocalController.dispatcher(),
+                          LocalController.jobTable(), *Config)) {
       if (const auto *Order = std::get_if<dispatch::HostOrder>(&Decision)) {
         PendingOrders.push_back(*Order);
       } else {
@@ -236,18 +237,18 @@
       return;
     }
     ListInFlight = false;
-    NextListAt = Time.now() + (!Reply.ok()     ? RetryDelay
-                               : Keeper.busy() ? BusyListPeriod
-                                               : IdleListPeriod);
+    NextListAt = Time.now() + (!Reply.ok()        ? RetryDelay
+                               : Scheduler.busy() ? BusyListPeriod
+                                                  : IdleListPeriod);
     if (!Reply.ok()) {
       Log.write(LogLevel::Warning, "host-list-unread",
                 {{"why", std::string(Reply.status().message())}});
       return;
     }
-    Keeper.setHosts(*std::move(Reply), LocalController.dispatcher());
+    Scheduler.setHosts(*std::move(Reply), LocalController.dispatcher());
     for (const auto &[Order, IsAccepted] :
          std::exchange(RepliesDuringList, {})) {
-      Keeper.answered(Order, IsAccepted);
+      Scheduler.answered(Order, IsAccepted);
       scheduleList();
     }
     saveProgress();
@@ -260,7 +261,7 @@
   }
   RecordInFlight = true;
   json::array Names;
-  for (const HostName &Name : Keeper.recentOrders()) {
+  for (const HostName &Name : Scheduler.recentOrders()) {
     Names.emplace_back(Name.Text);
   }
   Transaction Request;
@@ -282,7 +283,7 @@
                    if (IsRecorded) {
                      sendOrder(Order);
                    } else {
-                     Keeper.refused(Order, LocalController.dispatcher());
+                     Scheduler.refused(Order, LocalController.dispatcher());
                    }
                  }
                });
@@ -318,7 +319,7 @@
     if (ListInFlight) {
       RepliesDuringList.emplace_back(Order, IsAccepted);
     } else {
-      Keeper.answered(Order, IsAccepted);
+      Scheduler.answered(Order, IsAccepted);
       scheduleList();
     }
     return;
@@ -326,15 +327,15 @@
   Log.write(
       LogLevel::Info, "host-order-refused",
       {{"host", Order.Host.Text}, {"outcome", static_cast<int>(Outcome)}});
-  Keeper.refused(Order, LocalController.dispatcher());
+  Scheduler.refused(Order, LocalController.dispatcher());
 }
 
 void HostControl::saveProgress() {
   for (const dispatch::WaveRequest &Wave : Waves) {
-    if (Keeper.hasWave(Wave.Number)) {
+    if (Scheduler.hasWave(Wave.Number)) {
       writeIfChanged(progressKey(Wave.Number),
                      encodeProgress({WaveFirstSeen[Wave.Number],
-                                     Keeper.done(Wave.Number)}));
+                                     Scheduler.done(Wave.Number)}));
     }
   }
 }
--- a/Source/Control/include/balsamlatch/Control/HostControl.h
+++ b/Source/Control/include/balsamlatch/Control/HostControl.h
@@ -6,7 +6,7 @@
 #define BALSAMLATCH_CONTROL_HOSTCONTROL_H
 
 #include "balsamlatch/Control/Holder.h"
-#include "balsamlatch/Dispatch/HostKeeper.h"
+#include "balsamlatch/Dispatch/HostScheduler.h"
 
 namespace balsamlatch::control {
 
@@ -26,7 +26,7 @@
 
   HostControl(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
               RecordStore &Backend, HostPort &HostAdapter, Holder &Controller,
-              dispatch::HostKeeperOptions Options,
+              dispatch::HostSchedulerOptions Options,
               WaveReportFormat ReportFormat);
 
   /// Starts work at the beginning of a term of this process.
@@ -60,7 +60,7 @@
   HostPort &Hosts;
   Holder &LocalController;
   WaveReportFormat WaveReports;
-  dispatch::HostKeeper Keeper;
+  dispatch::HostScheduler Scheduler;
   std::shared_ptr<const dispatch::Deployment> Config;
   std::vector<dispatch::WaveRequest> Waves;
   // Status and progress of waves and recent orders as last stored, by key.
--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Demand of the pools, and moves of hosts between them.
 
-#include "balsamlatch/Dispatch/HostKeeper.h"
+#include "balsamlatch/Dispatch/HostScheduler.h"
 
 #include "HostWorkers.h"
 
@@ -81,7 +81,7 @@
 } // namespace
 
 std::vector<PoolHost>
-HostKeeper::poolHosts(const Dispatcher &JobDispatcher) const {
+HostScheduler::poolHosts(const Dispatcher &JobDispatcher) const {
   std::vector<PoolHost> Result;
   for (const auto &[Name, Host] : Hosts) {
     const bool DrainsForWave = std::any_of(
@@ -117,10 +117,10 @@
   return Result;
 }
 
-void HostKeeper::decideMoves(Dispatcher &JobDispatcher,
-                             const jobs::JobTable &Jobs,
-                             const Deployment &Config,
-                             std::vector<HostDecision> &Decisions) {
+void HostScheduler::decideMoves(Dispatcher &JobDispatcher,
+                                const jobs::JobTable &Jobs,
+                                const Deployment &Config,
+                                std::vector<HostDecision> &Decisions) {
   const Instant Now = Time.now();
   std::erase_if(MovingHosts, [&](const auto &MoveEntry) {
     return Now - MoveEntry.second.OrderedAt > Settings.MoveTime + ReturnMargin;
--- a/Source/Dispatch/HostKeeper.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -2,7 +2,7 @@
 /// Maintenance waves: which host is drained and ordered next, and the effect of
 /// replies and host lists on open orders.
 
-#include "balsamlatch/Dispatch/HostKeeper.h"
+#include "balsamlatch/Dispatch/HostScheduler.h"
 
 #include "HostWorkers.h"
 
@@ -111,11 +111,11 @@
       });
 }
 
-HostKeeper::HostKeeper(const Clock &TimeSource, HostKeeperOptions Options,
-                       LogSink &Sink)
+HostScheduler::HostScheduler(const Clock &TimeSource,
+                             HostSchedulerOptions Options, LogSink &Sink)
     : Time(TimeSource), Settings(Options), Log(Sink), Pools(Options.Pools) {}
 
-void HostKeeper::begin() {
+void HostScheduler::begin() {
   TermStart = Time.now();
   Hosts.clear();
   Waves.clear();
@@ -129,12 +129,12 @@
   OrderedAt.clear();
 }
 
-void HostKeeper::setEarlierOrders(std::set<HostName> Names) {
+void HostScheduler::setEarlierOrders(std::set<HostName> Names) {
   EarlierOrders = std::move(Names);
   EarlierOrdersKnown = true;
 }
 
-std::set<HostName> HostKeeper::recentOrders() const {
+std::set<HostName> HostScheduler::recentOrders() const {
   std::set<HostName> RecentHosts;
   for (const auto &[Name, IssuedAt] : OrderedAt) {
     if (Time.now() - IssuedAt < Settings.SettleTime) {
@@ -149,18 +149,18 @@
   return RecentHosts;
 }
 
-bool HostKeeper::isSettling(const HostName &Name) const {
+bool HostScheduler::isSettling(const HostName &Name) const {
   return EarlierOrders.contains(Name) &&
          Time.now() - TermStart < Settings.SettleTime;
 }
 
-bool HostKeeper::busy() const {
+bool HostScheduler::busy() const {
   return !Waves.empty() || !OpenOrders.empty() || !AnsweredOrders.empty() ||
          !MovingHosts.empty();
 }
 
-void HostKeeper::setHosts(std::vector<HostRecord> ListedHosts,
-                          Dispatcher &JobDispatcher) {
+void HostScheduler::setHosts(std::vector<HostRecord> ListedHosts,
+                             Dispatcher &JobDispatcher) {
   Hosts.clear();
   std::set<std::string> WorkerIds;
   for (HostRecord &Host : ListedHosts) {
@@ -174,7 +174,7 @@
   JobDispatcher.setHostedWorkers(WorkerIds);
 }
 
-void HostKeeper::addWave(const WaveRequest &Request, Duration ElapsedTime) {
+void HostScheduler::addWave(const WaveRequest &Request, Duration ElapsedTime) {
   if (Waves.contains(Request.Number)) {
     return;
   }
@@ -187,14 +187,14 @@
              {"at_once", Request.MaxAway}});
 }
 
-const HostRecord *HostKeeper::find(const HostName &Name) const {
+const HostRecord *HostScheduler::find(const HostName &Name) const {
   const auto HostIt = Hosts.find(Name);
   return HostIt == Hosts.end() ? nullptr : &HostIt->second;
 }
 
-std::vector<HostDecision> HostKeeper::decide(Dispatcher &JobDispatcher,
-                                             const jobs::JobTable &Jobs,
-                                             const Deployment &Config) {
+std::vector<HostDecision> HostScheduler::decide(Dispatcher &JobDispatcher,
+                                                const jobs::JobTable &Jobs,
+                                                const Deployment &Config) {
   std::vector<HostDecision> Decisions;
   if (Hosts.empty() || !EarlierOrdersKnown) {
     return Decisions;
@@ -206,15 +206,15 @@
   return Decisions;
 }
 
-void HostKeeper::issueOrder(HostOrder Order, Dispatcher &JobDispatcher,
-                            std::vector<HostDecision> &Decisions) {
+void HostScheduler::issueOrder(HostOrder Order, Dispatcher &JobDispatcher,
+                               std::vector<HostDecision> &Decisions) {
   JobDispatcher.setHostOrderPending(Order.WorkerId, true);
   OpenOrders[Order.Host] = Order;
   OrderedAt[Order.Host] = Time.now();
   Decisions.emplace_back(std::move(Order));
 }
 
-unsigned HostKeeper::countAway(const Wave &ActiveWave) const {
+unsigned HostScheduler::countAway(const Wave &ActiveWave) const {
   const Instant Now = Time.now();
   unsigned Count = 0;
   for (const HostName &Name : ActiveWave.Request.Hosts) {
@@ -232,8 +232,8 @@
   return Count;
 }
 
-unsigned HostKeeper::desiredDrains(const Wave &ActiveWave,
-                                   std::size_t HostsLeft) const {
+unsigned HostScheduler::desiredDrains(const Wave &ActiveWave,
+                                      std::size_t HostsLeft) const {
   const Duration PlannedTime = ActiveWave.Request.TimeAllowed *
                                (100 - Settings.WaveReservePercent) / 100;
   const Duration TimeLeft = std::max<Duration>(
@@ -243,9 +243,9 @@
   return static_cast<unsigned>((HostsLeft + CyclesLeft - 1) / CyclesLeft);
 }
 
-void HostKeeper::decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
-                            const jobs::JobTable &Jobs,
-                            std::vector<HostDecision> &Decisions) {
+void HostScheduler::decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
+                               const jobs::JobTable &Jobs,
+                               std::vector<HostDecision> &Decisions) {
   const Instant Now = Time.now();
   std::vector<const HostRecord *> AvailableHosts;
   std::size_t HostsLeft = 0;
@@ -315,12 +315,12 @@
   }
 }
 
-void HostKeeper::answered(const HostOrder &Order, bool WasAccepted) {
+void HostScheduler::answered(const HostOrder &Order, bool WasAccepted) {
   OpenOrders.erase(Order.Host);
   AnsweredOrders[Order.Host] = {Order, WasAccepted};
 }
 
-void HostKeeper::settleOrders(Dispatcher &JobDispatcher) {
+void HostScheduler::settleOrders(Dispatcher &JobDispatcher) {
   for (const auto &[Name, OrderAndAnswer] : std::exchange(AnsweredOrders, {})) {
     const auto &[Order, WasAccepted] = OrderAndAnswer;
     const HostRecord *Host = find(Name);
@@ -350,7 +350,7 @@
   }
 }
 
-void HostKeeper::refused(const HostOrder &Order, Dispatcher &JobDispatcher) {
+void HostScheduler::refused(const HostOrder &Order, Dispatcher &JobDispatcher) {
   OpenOrders.erase(Order.Host);
   MovingHosts.erase(Order.Host);
   if (const auto WaveIt = Waves.find(Order.Wave); WaveIt != Waves.end()) {
@@ -359,15 +359,15 @@
   JobDispatcher.setHostOrderPending(Order.WorkerId, false);
 }
 
-void HostKeeper::addDone(std::uint64_t Number,
-                         const std::vector<HostName> &Names) {
+void HostScheduler::addDone(std::uint64_t Number,
+                            const std::vector<HostName> &Names) {
   const auto WaveIt = Waves.find(Number);
   if (WaveIt != Waves.end()) {
     WaveIt->second.DoneHosts.insert(Names.begin(), Names.end());
   }
 }
 
-std::vector<HostName> HostKeeper::done(std::uint64_t Number) const {
+std::vector<HostName> HostScheduler::done(std::uint64_t Number) const {
   const auto WaveIt = Waves.find(Number);
   return WaveIt == Waves.end()
              ? std::vector<HostName>()
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostKeeper.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -1,11 +1,11 @@
 /// \file
 /// Decides which hosts are maintained next, within the limits of each wave on
 /// time and on hosts away at once, and which hosts move between pools. It never
-/// makes more tasks of a long-running step unavailable than the caller allows, and
-/// it drains a host before it cuts off work that would end by itself.
+/// makes more tasks of a long-running step unavailable than the caller allows,
+/// and it drains a host before it cuts off work that would end by itself.
 
-#ifndef BALSAMLATCH_DISPATCH_HOSTKEEPER_H
-#define BALSAMLATCH_DISPATCH_HOSTKEEPER_H
+#ifndef BALSAMLATCH_DISPATCH_HOSTSCHEDULER_H
+#define BALSAMLATCH_DISPATCH_HOSTSCHEDULER_H
 
 #include "balsamlatch/Dispatch/Dispatcher.h"
 #include "balsamlatch/Dispatch/Hosts.h"
@@ -13,7 +13,7 @@
 
 namespace balsamlatch::dispatch {
 
-struct HostKeeperOptions {
+struct HostSchedulerOptions {
   /// For this long after the start of a term, hosts that the earlier lease
   /// holder ordered recently get no order, so that two holders never issue
   /// conflicting orders for a host.
@@ -51,9 +51,10 @@
 using HostDecision = std::variant<HostOrder, WaveCompleted>;
 
 /// Tracks maintenance waves, host orders and moves, and decides on new ones.
-class HostKeeper {
+class HostScheduler {
 public:
-  HostKeeper(const Clock &TimeSource, HostKeeperOptions Options, LogSink &Sink);
+  HostScheduler(const Clock &TimeSource, HostSchedulerOptions Options,
+                LogSink &Sink);
 
   /// Begins a term without any state of earlier ones.
   void begin();
@@ -130,7 +131,7 @@
                   std::vector<HostDecision> &Decisions);
 
   const Clock &Time;
-  const HostKeeperOptions Settings;
+  const HostSchedulerOptions Settings;
   LogSink &Log;
   PoolPlanner Pools;
   Instant TermStart{};
@@ -155,12 +156,12 @@
 bool canInterrupt(const WorkerState &Worker, const Dispatcher &JobDispatcher,
                   const jobs::JobTable &Jobs);
 
-/// Returns a long-running task on the worker that may be stopped now to be placed on
-/// another worker.
+/// Returns a long-running task on the worker that may be stopped now to be
+/// placed on another worker.
 std::optional<TaskRef> findTaskToMove(const WorkerState &Worker,
                                       const Dispatcher &JobDispatcher,
                                       const jobs::JobTable &Jobs);
 
 } // namespace balsamlatch::dispatch
 
-#endif // BALSAMLATCH_DISPATCH_HOSTKEEPER_H
+#endif // BALSAMLATCH_DISPATCH_HOSTSCHEDULER_H
--- a/Tests/Dispatch/HostKeeperTest.cpp
+++ b/Tests/Dispatch/HostSchedulerTest.cpp
@@ -2,10 +2,10 @@
 /// Tests of maintenance waves and host moves: which orders are issued when, and
 /// the effect of replies and host lists.
 
-#define BOOST_TEST_MODULE HostKeeper
+#define BOOST_TEST_MODULE HostScheduler
 #include "Simulation.h"
 
-#include "balsamlatch/Dispatch/HostKeeper.h"
+#include "balsamlatch/Dispatch/HostScheduler.h"
 
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
@@ -32,10 +32,10 @@
 /// its term.
 struct FleetFixture {
   explicit FleetFixture(unsigned Count, bool EarlierOrdersKnown = true)
-      : Sim(Count), Keeper(Sim.Time, HostKeeperOptions(), Sim.Log) {
-    Keeper.begin();
+      : Sim(Count), Scheduler(Sim.Time, HostSchedulerOptions(), Sim.Log) {
+    Scheduler.begin();
     if (EarlierOrdersKnown) {
-      Keeper.setEarlierOrders({});
+      Scheduler.setEarlierOrders({});
     }
     for (unsigned Index = 0; Index < Count; ++Index) {
       HostRecord &Host = Hosts.emplace_back();
@@ -46,7 +46,7 @@
     }
   }
 
-  void publishHosts() { Keeper.setHosts(Hosts, *Sim.JobDispatcher); }
+  void publishHosts() { Scheduler.setHosts(Hosts, *Sim.JobDispatcher); }
 
   /// Moves all hosts but the first \p Kept to the standby pool and publishes
   /// the host list.
@@ -63,7 +63,7 @@
   std::vector<HostOrder> decide() {
     std::vector<HostOrder> Orders;
     for (const HostDecision &Decision :
-         Keeper.decide(*Sim.JobDispatcher, Sim.Table, *Sim.Config)) {
+         Scheduler.decide(*Sim.JobDispatcher, Sim.Table, *Sim.Config)) {
       if (const auto *Order = std::get_if<HostOrder>(&Decision)) {
         Orders.push_back(*Order);
       } else {
@@ -74,7 +74,7 @@
   }
 
   Simulation Sim;
-  HostKeeper Keeper;
+  HostScheduler Scheduler;
   std::vector<HostRecord> Hosts;
   bool Completed = false;
 };
@@ -95,22 +95,22 @@
 BOOST_AUTO_TEST_CASE(NoHostIsOrderedBeforeTheEarlierOrdersAreKnown) {
   FleetFixture Fleet(2, false);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 2));
   Fleet.Sim.run(10s);
   BOOST_TEST(Fleet.decide().empty());
 }
 
 BOOST_AUTO_TEST_CASE(AHostWithARecentOrderOfAnEarlierHolderWaits) {
   FleetFixture Fleet(2, false);
-  Fleet.Keeper.setEarlierOrders({Fleet.Hosts[0].Name});
+  Fleet.Scheduler.setEarlierOrders({Fleet.Hosts[0].Name});
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 2));
   Fleet.Sim.run(100ms);
   const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
   BOOST_TEST(Orders.front().Host.Text == "h1");
   // The next lease holder must get both orders.
-  BOOST_TEST((Fleet.Keeper.recentOrders() ==
+  BOOST_TEST((Fleet.Scheduler.recentOrders() ==
               std::set{Fleet.Hosts[0].Name, Fleet.Hosts[1].Name}));
   Fleet.Sim.run(4s);
   BOOST_TEST(Fleet.decide().size() == 1);
@@ -118,9 +118,9 @@
 
 BOOST_AUTO_TEST_CASE(TwoHostsOfAWaveMayBeOrderedAtOnce) {
   FleetFixture Fleet(2, false);
-  Fleet.Keeper.setEarlierOrders({Fleet.Hosts[0].Name, Fleet.Hosts[1].Name});
+  Fleet.Scheduler.setEarlierOrders({Fleet.Hosts[0].Name, Fleet.Hosts[1].Name});
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 2));
   Fleet.Sim.run(3s);
   BOOST_TEST(Fleet.decide().empty());
   Fleet.Sim.run(1s);
@@ -130,7 +130,7 @@
 BOOST_AUTO_TEST_CASE(AWaveNeverExceedsItsLimitOfHostsAway) {
   FleetFixture Fleet(4);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 2));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 2));
   Fleet.Sim.run(4s);
   unsigned Orders = 0;
   for (int Round = 0; Round < 10; ++Round) {
@@ -145,7 +145,7 @@
   Fleet.Sim.submit("a", longRunningJob(2));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 3));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 3));
   // No order has a reply yet, so the tasks of each count as unavailable.
   unsigned InterruptedHosts = 0;
   for (int Round = 0; Round < 5; ++Round) {
@@ -172,7 +172,8 @@
   const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
   BOOST_REQUIRE(
       Fleet.Sim.JobDispatcher->workers().at(FirstWorker).Runs.size() == 2);
-  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
+  Fleet.Scheduler.addWave(
+      waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
   BOOST_TEST(Fleet.decide().empty());
 }
 
@@ -181,7 +182,7 @@
   Fleet.Sim.submit("a", longRunningJob(2));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 3));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 3));
   Fleet.Sim.Time.advance(3s); // no reports are handled in this time
   for (const HostOrder &Order : Fleet.decide()) {
     BOOST_TEST(
@@ -194,10 +195,10 @@
   Fleet.Sim.submit("a", longRunningJob(1));
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 1));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 1));
   const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
-  Fleet.Keeper.answered(Orders.front(), true);
+  Fleet.Scheduler.answered(Orders.front(), true);
   Fleet.publishHosts(); // the host is up with the same worker
   Fleet.Sim.run(2s);
   BOOST_TEST(Fleet.Sim.countStarts("a") == 1);
@@ -211,10 +212,11 @@
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
   const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
-  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
+  Fleet.Scheduler.addWave(
+      waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
   const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
-  Fleet.Keeper.answered(Orders.front(), true);
+  Fleet.Scheduler.answered(Orders.front(), true);
   Fleet.Sim.run(100ms);
   BOOST_TEST(Fleet.Sim.countStarts("a") == 1);
   Fleet.Sim.Workers[FirstWorker == "w0" ? 0 : 1].crash(Fleet.Sim.Time.now(),
@@ -235,7 +237,7 @@
   Fleet.Sim.submit("a", simpleJob(8));
   Fleet.Sim.run(200ms);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf(Fleet.Hosts, 1));
+  Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 1));
   BOOST_TEST(Fleet.decide().empty());
   Fleet.Sim.run(1600ms);
   BOOST_TEST(Fleet.decide().size() == 1);
@@ -249,7 +251,8 @@
   Fleet.Sim.run(4s);
   Fleet.publishHosts();
   const std::string FirstWorker = Fleet.Sim.Observed.Runs.front().Worker;
-  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
+  Fleet.Scheduler.addWave(
+      waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
   unsigned MostAway = 0;
   std::vector<HostOrder> Orders;
   for (int Round = 0; Round < 100 && Orders.empty(); ++Round) {
@@ -279,7 +282,7 @@
   Fleet.Sim.submit("b", simpleJob(1));
   Fleet.Sim.run(1s);
   Fleet.publishHosts();
-  Fleet.Keeper.addWave(waveOf({Fleet.Hosts[0]}, 1));
+  Fleet.Scheduler.addWave(waveOf({Fleet.Hosts[0]}, 1));
   BOOST_TEST(Fleet.decide().empty());
   BOOST_TEST(Fleet.Sim.JobDispatcher->workers().at("w0").IsCordoned);
   Fleet.Sim.run(8s);
