--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -29,7 +29,7 @@
   }
   const Instant Now = Time.now();
   const bool MayRenew =
-      Now < LastStoreContact + Settings.Dispatch.StorelessRenewal;
+      Now < LastStoreContact + Settings.Dispatch.StoreOutageRenewal;
   JobDispatcher.tick(!JobJournal.appendInFlight(), MayRenew);
   executeDecisions();
   if (State != Leading) {
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -137,7 +137,7 @@
         Run.StopRequested = !Job.isOpen();
         Worker.ClaimedResources += Run.Claim;
         Worker.Runs[{Job.id(), Occurrence, Step, Index}] = Run;
-        Worker.LeasesExpireAt = TermStart + Settings.StorelessRenewal;
+        Worker.LeasesExpireAt = TermStart + Settings.StoreOutageRenewal;
         extendLeaseExpiry(Worker, Worker.LeasesExpireAt);
       }
     }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -32,7 +32,7 @@
   unsigned ClockSlackPercent = 3;
   /// How long an earlier lease holder may have renewed run leases while it
   /// could not reach the store.
-  Duration StorelessRenewal = std::chrono::seconds(6);
+  Duration StoreOutageRenewal = std::chrono::seconds(6);
   /// Long-poll time of a renewal: how long the worker waits for a run to end
   /// before it replies.
   Duration RenewalWait = std::chrono::milliseconds(1000);
