--- a/Source/Dispatch/HostMoves.cpp
+++ b/Source/Dispatch/HostMoves.cpp
@@ -104,7 +104,7 @@
     Entry.IsMovable =
         Host.Status == HostStatus::Up && MoveIt == MovingHosts.end() &&
         !OpenOrders.contains(Name) && !AnsweredOrders.contains(Name) &&
-        !isSettling(Name) && (Worker == nullptr || !Worker->Record.Draining);
+        !isInHandover(Name) && (Worker == nullptr || !Worker->Record.Draining);
     Entry.IsVacant = Worker == nullptr || Worker->Runs.empty();
     Entry.HasLongRunningTask =
         Worker != nullptr &&
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -137,21 +137,21 @@
 std::set<HostName> HostScheduler::recentOrders() const {
   std::set<HostName> RecentHosts;
   for (const auto &[Name, IssuedAt] : OrderedAt) {
-    if (Time.now() - IssuedAt < Settings.SettleTime) {
+    if (Time.now() - IssuedAt < Settings.HandoverDelay) {
       RecentHosts.insert(Name);
     }
   }
   // The next lease holder needs the orders of the earlier one as long as their
   // effect is unknown.
-  if (Time.now() - TermStart < Settings.SettleTime) {
+  if (Time.now() - TermStart < Settings.HandoverDelay) {
     RecentHosts.insert(EarlierOrders.begin(), EarlierOrders.end());
   }
   return RecentHosts;
 }
 
-bool HostScheduler::isSettling(const HostName &Name) const {
+bool HostScheduler::isInHandover(const HostName &Name) const {
   return EarlierOrders.contains(Name) &&
-         Time.now() - TermStart < Settings.SettleTime;
+         Time.now() - TermStart < Settings.HandoverDelay;
 }
 
 bool HostScheduler::busy() const {
@@ -257,7 +257,7 @@
     ++HostsLeft;
     if (Host->Status == HostStatus::Up && !OpenOrders.contains(Name) &&
         !AnsweredOrders.contains(Name) && !MovingHosts.contains(Name) &&
-        !isSettling(Name)) {
+        !isInHandover(Name)) {
       AvailableHosts.push_back(Host);
     }
   }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -17,7 +17,7 @@
   /// For this long after the start of a term, hosts that the earlier lease
   /// holder ordered recently get no order, so that two holders never issue
   /// conflicting orders for a host.
-  Duration SettleTime = std::chrono::milliseconds(3500);
+  Duration HandoverDelay = std::chrono::milliseconds(3500);
   /// How long a host may drain before its remaining runs are cut off.
   Duration DrainTimeout = std::chrono::seconds(7);
   /// Time for which a host is away for maintenance, and for a move.
@@ -61,7 +61,7 @@
   /// Sets the hosts that the earlier lease holder ordered recently, from its
   /// recentOrders(). Nothing is decided before this is known.
   void setEarlierOrders(std::set<HostName> Hosts);
-  /// Hosts that were ordered in the last SettleTime.
+  /// Hosts that were ordered in the last HandoverDelay.
   std::set<HostName> recentOrders() const;
   /// Takes a host list that was made after all replies so far.
   void setHosts(std::vector<HostRecord> Hosts, Dispatcher &JobDispatcher);
@@ -113,7 +113,7 @@
   const HostRecord *find(const HostName &Name) const;
   /// Whether the earlier lease holder may have ordered the host just before the
   /// term began.
-  bool isSettling(const HostName &Name) const;
+  bool isInHandover(const HostName &Name) const;
   void decideWave(Wave &ActiveWave, Dispatcher &JobDispatcher,
                   const jobs::JobTable &Jobs,
                   std::vector<HostDecision> &Decisions);
