--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -55,7 +55,7 @@
   for (const dispatch::PermitQuery &Query : JobDispatcher.takeQueries()) {
     queryPolicy(Query);
   }
-  if (JobDispatcher.fenced()) {
+  if (JobDispatcher.isFenced()) {
     stepDown("a worker has seen a later holder");
   }
 }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -97,7 +97,7 @@
                         const std::optional<PermitReply> &Reply);
 
   /// Whether a worker has seen a higher fencing token, which ends this term.
-  bool fenced() const { return Fenced; }
+  bool isFenced() const { return Fenced; }
 
   const WorkerTable &workers() const { return Workers; }
   /// Pools with work that has not fitted on any usable worker for a while, and
