--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -51,7 +51,7 @@
   for (const dispatch::WorkerOrder &Order : JobDispatcher.takeOrders()) {
     sendOrder(Order);
   }
-  JobDispatcher.limitQueries(Policies.slots());
+  JobDispatcher.setQueryLimit(Policies.slots());
   for (const dispatch::PermitQuery &Query : JobDispatcher.takeQueries()) {
     queryPolicy(Query);
   }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -91,7 +91,7 @@
   /// Returns and clears the queries to send to the placement policies. At most
   /// QueryLimit queries are in flight at a time, and at most one per step.
   std::vector<PermitQuery> takeQueries();
-  void limitQueries(std::size_t Limit) { QueryLimit = Limit; }
+  void setQueryLimit(std::size_t Limit) { QueryLimit = Limit; }
   /// \p Reply is unset if the policy service did not reply.
   void handleQueryReply(const PermitQuery &Query, Instant AskedAt,
                         const std::optional<PermitReply> &Reply);
--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -325,7 +325,7 @@
 BOOST_AUTO_TEST_CASE(QueriesOfSeveralStepsAreOutTogether) {
   PolicySimulation Sim(6);
   Sim.Config->Queues.front().Policy->DecisionTime = 300ms;
-  Sim.JobDispatcher->limitQueries(4);
+  Sim.JobDispatcher->setQueryLimit(4);
   for (const char *Id : {"a", "b", "c", "d"}) {
     Sim.submit(Id, simpleJob(1));
   }
