--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -184,7 +184,7 @@
     }
   }
   Scheduler.addWave(Wave, Time.wallNow() - FirstSeen);
-  Scheduler.addDone(Wave.Number, CompletedHosts);
+  Scheduler.addDoneHosts(Wave.Number, CompletedHosts);
   reportWave(Wave.Number, false);
 }
 
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -359,8 +359,8 @@
   JobDispatcher.setHostOrderPending(Order.WorkerId, false);
 }
 
-void HostScheduler::addDone(std::uint64_t Number,
-                            const std::vector<HostName> &Names) {
+void HostScheduler::addDoneHosts(std::uint64_t Number,
+                                 const std::vector<HostName> &Names) {
   const auto WaveIt = Waves.find(Number);
   if (WaveIt != Waves.end()) {
     WaveIt->second.DoneHosts.insert(Names.begin(), Names.end());
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -87,7 +87,7 @@
 
   /// The hosts of a wave that need no further order: adds those that an earlier
   /// lease holder has finished, and returns all of them.
-  void addDone(std::uint64_t Wave, const std::vector<HostName> &Hosts);
+  void addDoneHosts(std::uint64_t Wave, const std::vector<HostName> &Hosts);
   std::vector<HostName> done(std::uint64_t Wave) const;
 
 private:
