--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -109,7 +109,7 @@
   loadStoredValues(StatusPrefix, [this] {
     loadStoredValues(std::string(FleetPrefix), [this] {
       StoredValuesLoaded = true;
-      Scheduler.setEarlierOrders(
+      Scheduler.setRecentOrders(
           decodeOrders(StoredValues[std::string(OrdersKey)]));
       addOpenWaves();
     });
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -129,7 +129,7 @@
   OrderedAt.clear();
 }
 
-void HostScheduler::setEarlierOrders(std::set<HostName> Names) {
+void HostScheduler::setRecentOrders(std::set<HostName> Names) {
   EarlierOrders = std::move(Names);
   EarlierOrdersKnown = true;
 }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -60,7 +60,7 @@
   void begin();
   /// Sets the hosts that the earlier lease holder ordered recently, from its
   /// recentOrders(). Nothing is decided before this is known.
-  void setEarlierOrders(std::set<HostName> Hosts);
+  void setRecentOrders(std::set<HostName> Hosts);
   /// Hosts that were ordered in the last HandoverDelay.
   std::set<HostName> recentOrders() const;
   /// Takes a host list that was made after all replies so far.
--- a/Tests/Dispatch/HostSchedulerTest.cpp
+++ b/Tests/Dispatch/HostSchedulerTest.cpp
@@ -35,7 +35,7 @@
       : Sim(Count), Scheduler(Sim.Time, HostSchedulerOptions(), Sim.Log) {
     Scheduler.begin();
     if (EarlierOrdersKnown) {
-      Scheduler.setEarlierOrders({});
+      Scheduler.setRecentOrders({});
     }
     for (unsigned Index = 0; Index < Count; ++Index) {
       HostRecord &Host = Hosts.emplace_back();
@@ -102,7 +102,7 @@
 
 BOOST_AUTO_TEST_CASE(AHostWithARecentOrderOfAnEarlierHolderWaits) {
   FleetFixture Fleet(2, false);
-  Fleet.Scheduler.setEarlierOrders({Fleet.Hosts[0].Name});
+  Fleet.Scheduler.setRecentOrders({Fleet.Hosts[0].Name});
   Fleet.publishHosts();
   Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 2));
   Fleet.Sim.run(100ms);
@@ -118,7 +118,7 @@
 
 BOOST_AUTO_TEST_CASE(TwoHostsOfAWaveMayBeOrderedAtOnce) {
   FleetFixture Fleet(2, false);
-  Fleet.Scheduler.setEarlierOrders({Fleet.Hosts[0].Name, Fleet.Hosts[1].Name});
+  Fleet.Scheduler.setRecentOrders({Fleet.Hosts[0].Name, Fleet.Hosts[1].Name});
   Fleet.publishHosts();
   Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 2));
   Fleet.Sim.run(3s);
