--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -293,7 +293,7 @@
   Log.write(LogLevel::Info, "host-ordered",
             {{"host", Order.Host.Text},
              {"wave", Order.Wave},
-             {"to", Order.MoveTo.Text},
+             {"to", Order.DestinationPool.Text},
              {"worker", Order.WorkerId}});
   const HolderIdentity Leader{
       LocalController.knownLeader() ? LocalController.knownLeader()->Name : "",
@@ -307,7 +307,7 @@
   if (Order.Wave != 0) {
     Hosts.maintain(Leader, Order.Host, Order.Wave, Callback);
   } else {
-    Hosts.move(Leader, Order.Host, Order.MoveTo, Callback);
+    Hosts.move(Leader, Order.Host, Order.DestinationPool, Callback);
   }
 }
 
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -344,7 +344,7 @@
     Log.write(LogLevel::Info, "host-order-settled",
               {{"host", Name.Text},
                {"wave", Order.Wave},
-               {"to", Order.MoveTo.Text},
+               {"to", Order.DestinationPool.Text},
                {"taken", WasAccepted},
                {"away", IsGone}});
   }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -36,7 +36,7 @@
   std::string WorkerId;
   /// The number of the maintenance wave; 0 for a move.
   std::uint64_t Wave = 0;
-  PoolName MoveTo;
+  PoolName DestinationPool;
 
   auto operator<=>(const HostOrder &) const = default;
 };
