--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -250,7 +250,7 @@
     Run->Phase = RunPhase::Uncertain;
     Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Now);
     return;
-  case OrderOutcome::NoRoom:
+  case OrderOutcome::InsufficientResources:
     Worker.AvoidUntil = Now + NoRoomDelay;
     break;
   case OrderOutcome::Unhealthy:
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -116,7 +116,7 @@
   /// The worker has seen a higher fencing token.
   Fenced,
   /// The worker lacks free resources.
-  NoRoom,
+  InsufficientResources,
   /// The lease had expired by the worker's clock when the order arrived.
   TooLate,
   /// The run number is not current for the task.
