--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -267,7 +267,7 @@
     Fenced = true;
     break;
   case OrderOutcome::TooLate:
-  case OrderOutcome::OldRun:
+  case OrderOutcome::StaleRun:
   case OrderOutcome::Invalid:
     Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Now);
     break;
@@ -353,7 +353,7 @@
     return;
   }
   Run->StopInFlight = false;
-  if (Outcome == OrderOutcome::Done || Outcome == OrderOutcome::OldRun) {
+  if (Outcome == OrderOutcome::Done || Outcome == OrderOutcome::StaleRun) {
     Run->StopConfirmedAt = Time.now();
     WorkerState &Worker = Workers.at(Order.To.WorkerId);
     Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Time.now());
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -120,7 +120,7 @@
   /// The lease had expired by the worker's clock when the order arrived.
   TooLate,
   /// The run number is not current for the task.
-  OldRun,
+  StaleRun,
   /// The placement policy's permit is not valid.
   NoPermit,
   /// Another worker, or another incarnation of the worker, has the address.
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -93,11 +93,11 @@
   const auto RunIt = Runs.find(Order.Task);
   if (RunIt != Runs.end()) {
     return RunIt->second.Number == Order.Run ? OrderOutcome::Done
-                                             : OrderOutcome::OldRun;
+                                             : OrderOutcome::StaleRun;
   }
   const auto FinishedIt = FinishedRuns.find(Order.Task);
   if (FinishedIt != FinishedRuns.end() && Order.Run <= FinishedIt->second) {
-    return OrderOutcome::OldRun;
+    return OrderOutcome::StaleRun;
   }
   LeaseUntil = std::max(LeaseUntil, Order.LeaseUntil);
   if (Order.SpecText == "filler") {
@@ -116,7 +116,7 @@
   HighestToken = Order.Token;
   const auto RunIt = Runs.find(Order.Task);
   if (RunIt == Runs.end() || RunIt->second.Number != Order.Run) {
-    return OrderOutcome::OldRun;
+    return OrderOutcome::StaleRun;
   }
   Paces[Order.Task] = Order.Percent;
   return OrderOutcome::Done;
