--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -259,7 +259,7 @@
   case OrderOutcome::NoPermit:
     Permits.remove(stepOf(Order.Task), Order.To.WorkerId);
     break;
-  case OrderOutcome::OtherWorker:
+  case OrderOutcome::WrongWorker:
     Worker.HasReported = false;
     Worker.NextRenewalAt = Now;
     break;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -124,7 +124,7 @@
   /// The placement policy's permit is not valid.
   NoPermit,
   /// Another worker, or another incarnation of the worker, has the address.
-  OtherWorker,
+  WrongWorker,
   /// The worker can't take orders now.
   Unhealthy,
   /// The order is malformed for the worker.
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -365,7 +365,7 @@
                                OrderOutcome &Outcome) {
     Outcome = Worker.Record.Instance.Incarnation == IntendedIncarnation
                   ? OrderOutcome::Unknown
-                  : OrderOutcome::OtherWorker;
+                  : OrderOutcome::WrongWorker;
     return !Worker.IsDown &&
            Worker.Record.Instance.Incarnation == IntendedIncarnation;
   };
