--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -204,9 +204,9 @@
   }
   Worker.Record.Instance.Incarnation = Incarnation;
   Worker.HasReported = false;
-  Worker.EndsSeen = 0;
-  Worker.EndsInBatch = 0;
-  Worker.EndsRecorded = 0;
+  Worker.LastSeenEnd = 0;
+  Worker.LastEndInBatch = 0;
+  Worker.LastRecordedEnd = 0;
   Worker.ConsecutiveFailures = 0;
   Worker.AvoidanceDoublings = 0;
   Worker.AvoidUntil = {};
@@ -218,7 +218,7 @@
   }
   BatchInFlight = false;
   for (auto &[Id, Worker] : Workers) {
-    advanceRecordedEnds(Worker, Worker.EndsInBatch);
+    advanceRecordedEnds(Worker, Worker.LastEndInBatch);
   }
   for (const JobEvent &Event : RecordedEvents) {
     std::visit(
@@ -230,8 +230,8 @@
 
 void Dispatcher::advanceRecordedEnds(WorkerState &Worker,
                                      std::uint64_t Number) {
-  if (Worker.EndsRecorded < Number) {
-    Worker.EndsRecorded = Number;
+  if (Worker.LastRecordedEnd < Number) {
+    Worker.LastRecordedEnd = Number;
     Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Time.now());
   }
 }
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -34,7 +34,7 @@
   for (auto &[Id, Worker] : Workers) {
     if (!BatchInFlight && Events.empty()) {
       // Nothing is left to record, so all ends seen so far count as recorded.
-      advanceRecordedEnds(Worker, Worker.EndsSeen);
+      advanceRecordedEnds(Worker, Worker.LastSeenEnd);
     }
     orderStops(Worker);
     orderPaces(Worker, Now);
@@ -126,10 +126,10 @@
   RenewOrder Order;
   Order.To = Worker.Record.Address;
   Order.Token = Token;
-  Order.EndsRecorded = Worker.EndsRecorded;
+  Order.LastRecordedEnd = Worker.LastRecordedEnd;
   // The worker reports ends that aren't recorded yet again at once, so a long
   // poll would not wait.
-  const bool HasUnrecordedEnds = Worker.EndsSeen != Worker.EndsRecorded;
+  const bool HasUnrecordedEnds = Worker.LastSeenEnd != Worker.LastRecordedEnd;
   if (Worker.HasReported && !Worker.IsUnresponsive && !Worker.Runs.empty() &&
       !HasUnrecordedEnds) {
     const bool HasStartingRun = std::any_of(
@@ -183,7 +183,7 @@
 std::vector<JobEvent> Dispatcher::takeEvents() {
   BatchInFlight = BatchInFlight || !Events.empty();
   for (auto &[Id, Worker] : Workers) {
-    Worker.EndsInBatch = Worker.EndsSeen;
+    Worker.LastEndInBatch = Worker.LastSeenEnd;
   }
   return std::exchange(Events, {});
 }
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -78,7 +78,7 @@
   adjustPace(Worker, Now);
   Worker.NextRenewalAt = Now + (Worker.Runs.empty() ? Settings.IdleRenewalPeriod
                                                     : Settings.RenewalPeriod);
-  if (Worker.EndsSeen != Worker.EndsRecorded) {
+  if (Worker.LastSeenEnd != Worker.LastRecordedEnd) {
     Worker.NextRenewalAt = Now + JournalLagRenewalPeriod;
   }
 }
@@ -86,10 +86,10 @@
 void Dispatcher::processEndedRuns(WorkerState &Worker,
                                   const RenewReport &Report) {
   for (const EndedTask &EndedRun : Report.Ended) {
-    if (EndedRun.Number <= Worker.EndsSeen) {
+    if (EndedRun.Number <= Worker.LastSeenEnd) {
       continue;
     }
-    Worker.EndsSeen = EndedRun.Number;
+    Worker.LastSeenEnd = EndedRun.Number;
     PlanNeeded = true;
     const auto RunIt = Worker.Runs.find(EndedRun.Task);
     if (RunIt == Worker.Runs.end() || RunIt->second.Number != EndedRun.Run) {
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -25,7 +25,7 @@
   WorkerAddress To;
   FencingToken Token;
   /// Ends up to this number are recorded, so the worker may forget them.
-  std::uint64_t EndsRecorded = 0;
+  std::uint64_t LastRecordedEnd = 0;
   /// New expiry of the leases; unset if they are not renewed.
   std::optional<WorkerClock> LeaseUntil;
   /// How long the worker may wait for a run to end before it replies.
--- a/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/WorkerState.h
@@ -83,11 +83,11 @@
   /// The time when all leases granted so far have expired.
   Instant LeasesExpireAt{};
   /// Highest sequence number of an end that was processed.
-  std::uint64_t EndsSeen = 0;
-  /// Value of EndsSeen when the events that are being recorded were taken.
-  std::uint64_t EndsInBatch = 0;
+  std::uint64_t LastSeenEnd = 0;
+  /// Value of LastSeenEnd when the events that are being recorded were taken.
+  std::uint64_t LastEndInBatch = 0;
   /// Highest sequence number of an end that is recorded.
-  std::uint64_t EndsRecorded = 0;
+  std::uint64_t LastRecordedEnd = 0;
   /// The worker gets no new work before this time.
   Instant AvoidUntil{};
   /// Failed runs since the last success, where consecutive failures of one job
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -44,7 +44,7 @@
   HighestToken = Order.Token;
   Outcome = OrderOutcome::Done;
   std::erase_if(Ends, [&](const EndedTask &EndedRun) {
-    if (EndedRun.Number > Order.EndsRecorded) {
+    if (EndedRun.Number > Order.LastRecordedEnd) {
       return false;
     }
     Observed.Runs[TraceByEnd.at(EndedRun.Number)].EndAcknowledged = true;
