--- a/Source/Dispatch/include/balsamlatch/Dispatch/Deployment.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Deployment.h
@@ -62,7 +62,7 @@
   /// Hosts in the pool are switched off and cost nothing.
   bool Standby = false;
   /// The pool's workers refuse runs that exceed their capacity.
-  bool GuardsCapacity = true;
+  bool EnforcesCapacity = true;
 
   auto operator<=>(const Pool &) const = default;
 };
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -97,7 +97,7 @@
   BOOST_TEST(Config->match("h", "/y/1") == nullptr);
   BOOST_TEST(Config->find(jobs::QueueName("b"))->MaxAttempts == 4);
   BOOST_TEST(Config->Pools.front().Standby);
-  BOOST_TEST(!Config->Pools.front().GuardsCapacity);
+  BOOST_TEST(!Config->Pools.front().EnforcesCapacity);
   BOOST_TEST(!decodeConfig("{\"routes\":[]}").ok());
 }
 
