--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -155,7 +155,7 @@
   }
   LastStoreContact = std::max(LastStoreContact, JobJournal.lastSentAt());
   completePendingRequests();
-  JobDispatcher.recorded(Events);
+  JobDispatcher.handleRecorded(Events);
   JobDispatcher.tick(true, true);
   executeDecisions();
   appendEvents();
--- a/Source/Dispatch/Dispatcher.cpp
+++ b/Source/Dispatch/Dispatcher.cpp
@@ -212,7 +212,7 @@
   Worker.AvoidUntil = {};
 }
 
-void Dispatcher::recorded(const std::vector<JobEvent> &RecordedEvents) {
+void Dispatcher::handleRecorded(const std::vector<JobEvent> &RecordedEvents) {
   if (Table == nullptr) {
     return;
   }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Dispatcher.h
@@ -70,7 +70,7 @@
   void setWorkers(const std::map<std::string, WorkerRecord> &Records);
 
   /// The journal holds the events, and they are applied to the job table.
-  void recorded(const std::vector<jobs::JobEvent> &RecordedEvents);
+  void handleRecorded(const std::vector<jobs::JobEvent> &RecordedEvents);
 
   /// Take the outcome of an order, and for a renewal the report of the worker.
   void handleRenewReply(const std::string &WorkerId, Instant SentAt,
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -299,7 +299,7 @@
         ClosedAt.emplace(Job->id(), Time.now());
       }
     }
-    JobDispatcher->recorded(Events);
+    JobDispatcher->handleRecorded(Events);
   });
 }
 
