--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -248,7 +248,7 @@
     Scheduler.setHosts(*std::move(Reply), LocalController.dispatcher());
     for (const auto &[Order, IsAccepted] :
          std::exchange(RepliesDuringList, {})) {
-      Scheduler.answered(Order, IsAccepted);
+      Scheduler.handleReply(Order, IsAccepted);
       scheduleList();
     }
     saveProgress();
@@ -319,7 +319,7 @@
     if (ListInFlight) {
       RepliesDuringList.emplace_back(Order, IsAccepted);
     } else {
-      Scheduler.answered(Order, IsAccepted);
+      Scheduler.handleReply(Order, IsAccepted);
       scheduleList();
     }
     return;
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -315,7 +315,7 @@
   }
 }
 
-void HostScheduler::answered(const HostOrder &Order, bool WasAccepted) {
+void HostScheduler::handleReply(const HostOrder &Order, bool WasAccepted) {
   OpenOrders.erase(Order.Host);
   AnsweredOrders[Order.Host] = {Order, WasAccepted};
 }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -81,7 +81,7 @@
   /// The platform accepted the order, or never replied. It accepts an order
   /// that was already carried out without doing anything, so only the next host
   /// list shows what became of the worker.
-  void answered(const HostOrder &Order, bool WasAccepted);
+  void handleReply(const HostOrder &Order, bool WasAccepted);
   /// The platform refused the order.
   void refused(const HostOrder &Order, Dispatcher &JobDispatcher);
 
--- a/Tests/Dispatch/HostSchedulerTest.cpp
+++ b/Tests/Dispatch/HostSchedulerTest.cpp
@@ -198,7 +198,7 @@
   Fleet.Scheduler.addWave(waveOf(Fleet.Hosts, 1));
   const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
-  Fleet.Scheduler.answered(Orders.front(), true);
+  Fleet.Scheduler.handleReply(Orders.front(), true);
   Fleet.publishHosts(); // the host is up with the same worker
   Fleet.Sim.run(2s);
   BOOST_TEST(Fleet.Sim.countStarts("a") == 1);
@@ -216,7 +216,7 @@
       waveOf({Fleet.Hosts[FirstWorker == "w0" ? 0 : 1]}, 1));
   const std::vector<HostOrder> Orders = Fleet.decide();
   BOOST_REQUIRE(Orders.size() == 1);
-  Fleet.Scheduler.answered(Orders.front(), true);
+  Fleet.Scheduler.handleReply(Orders.front(), true);
   Fleet.Sim.run(100ms);
   BOOST_TEST(Fleet.Sim.countStarts("a") == 1);
   Fleet.Sim.Workers[FirstWorker == "w0" ? 0 : 1].crash(Fleet.Sim.Time.now(),
