--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -267,26 +267,26 @@
   Transaction Request;
   Request.Conditions = {LocalController.leaderCondition()};
   Request.Writes = {{std::string(OrdersKey), json::serialize(Names), 0}};
-  Store.commit(std::move(Request),
-               [this, Orders = std::exchange(PendingOrders, {}),
-                SentAt = Time.now(),
-                CallTerm = Term](const TransactionReply &Reply) {
-                 if (CallTerm != Term) {
-                   return;
-                 }
-                 RecordInFlight = false;
-                 // If this process was frozen meanwhile, a new leader may lead
-                 // without accounting for these orders.
-                 const bool IsRecorded =
-                     Reply.Status.ok() && Time.now() - SentAt < MaxRecordTime;
-                 for (const dispatch::HostOrder &Order : Orders) {
-                   if (IsRecorded) {
-                     sendOrder(Order);
-                   } else {
-                     Scheduler.refused(Order, LocalController.dispatcher());
-                   }
-                 }
-               });
+  Store.commit(
+      std::move(Request),
+      [this, Orders = std::exchange(PendingOrders, {}), SentAt = Time.now(),
+       CallTerm = Term](const TransactionReply &Reply) {
+        if (CallTerm != Term) {
+          return;
+        }
+        RecordInFlight = false;
+        // If this process was frozen meanwhile, a new leader may lead
+        // without accounting for these orders.
+        const bool IsRecorded =
+            Reply.Status.ok() && Time.now() - SentAt < MaxRecordTime;
+        for (const dispatch::HostOrder &Order : Orders) {
+          if (IsRecorded) {
+            sendOrder(Order);
+          } else {
+            Scheduler.handleRefusal(Order, LocalController.dispatcher());
+          }
+        }
+      });
 }
 
 void HostControl::sendOrder(const dispatch::HostOrder &Order) {
@@ -327,7 +327,7 @@
   Log.write(
       LogLevel::Info, "host-order-refused",
       {{"host", Order.Host.Text}, {"outcome", static_cast<int>(Outcome)}});
-  Scheduler.refused(Order, LocalController.dispatcher());
+  Scheduler.handleRefusal(Order, LocalController.dispatcher());
 }
 
 void HostControl::saveProgress() {
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -350,7 +350,8 @@
   }
 }
 
-void HostScheduler::refused(const HostOrder &Order, Dispatcher &JobDispatcher) {
+void HostScheduler::handleRefusal(const HostOrder &Order,
+                                  Dispatcher &JobDispatcher) {
   OpenOrders.erase(Order.Host);
   MovingHosts.erase(Order.Host);
   if (const auto WaveIt = Waves.find(Order.Wave); WaveIt != Waves.end()) {
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -83,7 +83,7 @@
   /// list shows what became of the worker.
   void handleReply(const HostOrder &Order, bool WasAccepted);
   /// The platform refused the order.
-  void refused(const HostOrder &Order, Dispatcher &JobDispatcher);
+  void handleRefusal(const HostOrder &Order, Dispatcher &JobDispatcher);
 
   /// The hosts of a wave that need no further order: adds those that an earlier
   /// lease holder has finished, and returns all of them.
