--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -335,7 +335,7 @@
     if (Scheduler.hasWave(Wave.Number)) {
       writeIfChanged(progressKey(Wave.Number),
                      encodeProgress({WaveFirstSeen[Wave.Number],
-                                     Scheduler.done(Wave.Number)}));
+                                     Scheduler.doneHosts(Wave.Number)}));
     }
   }
 }
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -368,7 +368,7 @@
   }
 }
 
-std::vector<HostName> HostScheduler::done(std::uint64_t Number) const {
+std::vector<HostName> HostScheduler::doneHosts(std::uint64_t Number) const {
   const auto WaveIt = Waves.find(Number);
   return WaveIt == Waves.end()
              ? std::vector<HostName>()
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -88,7 +88,7 @@
   /// The hosts of a wave that need no further order: adds those that an earlier
   /// lease holder has finished, and returns all of them.
   void addDoneHosts(std::uint64_t Wave, const std::vector<HostName> &Hosts);
-  std::vector<HostName> done(std::uint64_t Wave) const;
+  std::vector<HostName> doneHosts(std::uint64_t Wave) const;
 
 private:
   struct Wave {
