--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostControl.cpp
@@ -237,9 +237,9 @@
       return;
     }
     ListInFlight = false;
-    NextListAt = Time.now() + (!Reply.ok()        ? RetryDelay
-                               : Scheduler.busy() ? BusyListPeriod
-                                                  : IdleListPeriod);
+    NextListAt = Time.now() + (!Reply.ok()               ? RetryDelay
+                               : Scheduler.hasOpenWork() ? BusyListPeriod
+                                                         : IdleListPeriod);
     if (!Reply.ok()) {
       Log.write(LogLevel::Warning, "host-list-unread",
                 {{"why", std::string(Reply.status().message())}});
--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -154,7 +154,7 @@
          Time.now() - TermStart < Settings.HandoverDelay;
 }
 
-bool HostScheduler::busy() const {
+bool HostScheduler::hasOpenWork() const {
   return !Waves.empty() || !OpenOrders.empty() || !AnsweredOrders.empty() ||
          !MovingHosts.empty();
 }
--- a/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/HostScheduler.h
@@ -71,7 +71,7 @@
   bool hasWave(std::uint64_t Number) const { return Waves.contains(Number); }
   /// Whether a wave, an order or a move is in progress, so that the host list
   /// is needed often.
-  bool busy() const;
+  bool hasOpenWork() const;
 
   /// Returns the orders and completed waves that are due now.
   std::vector<HostDecision> decide(Dispatcher &JobDispatcher,
