--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/HolderTicks.cpp
@@ -84,7 +84,7 @@
 
     void operator()(const dispatch::RenewOrder &Renew) const {
       Controller.Workers.renew(Renew, [&Self = Controller, CallTerm = Term,
-                                       Id = Renew.To.WorkerId,
+                                       Id = Renew.Worker.WorkerId,
                                        SentAt = Controller.Time.now()](
                                           dispatch::OrderOutcome Outcome,
                                           const dispatch::RenewReport &Report) {
--- a/Source/Dispatch/DispatcherOrders.cpp
+++ b/Source/Dispatch/DispatcherOrders.cpp
@@ -124,7 +124,7 @@
     return;
   }
   RenewOrder Order;
-  Order.To = Worker.Record.Address;
+  Order.Worker = Worker.Record.Address;
   Order.Token = Token;
   Order.LastRecordedEnd = Worker.LastRecordedEnd;
   // The worker reports ends that aren't recorded yet again at once, so a long
@@ -159,7 +159,7 @@
   const jobs::Job *Job = Table->find(Task.Job);
   const Instant Now = Time.now();
   StartOrder Order;
-  Order.To = Worker.Record.Address;
+  Order.Worker = Worker.Record.Address;
   Order.Token = Token;
   Order.Task = Task;
   Order.Run = Run.Number;
--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -231,11 +231,11 @@
                                   OrderOutcome Outcome) {
   RunState *Run = Table == nullptr
                       ? nullptr
-                      : findRun(Order.To.WorkerId, Order.Task, Order.Run);
+                      : findRun(Order.Worker.WorkerId, Order.Task, Order.Run);
   if (Run == nullptr || Run->Phase != RunPhase::Ordered) {
     return;
   }
-  WorkerState &Worker = Workers.at(Order.To.WorkerId);
+  WorkerState &Worker = Workers.at(Order.Worker.WorkerId);
   const Instant Now = Time.now();
   PlanNeeded = true;
   switch (Outcome) {
@@ -257,7 +257,7 @@
     Worker.AvoidUntil = Now + UnhealthyDelay;
     break;
   case OrderOutcome::NoPermit:
-    Permits.remove(stepOf(Order.Task), Order.To.WorkerId);
+    Permits.remove(stepOf(Order.Task), Order.Worker.WorkerId);
     break;
   case OrderOutcome::WrongWorker:
     Worker.HasReported = false;
@@ -274,7 +274,7 @@
   }
   Log.write(LogLevel::Info, "start-refused",
             {{"job", Order.Task.Job.Text},
-             {"worker", Order.To.WorkerId},
+             {"worker", Order.Worker.WorkerId},
              {"run", Order.Run},
              {"outcome", static_cast<int>(Outcome)}});
   proposeEnd(Worker, Order.Task, *Run, RunOutcome::Refused, {});
@@ -308,7 +308,7 @@
 void Dispatcher::handlePaceReply(const PaceOrder &Order, OrderOutcome Outcome) {
   RunState *Run = Table == nullptr
                       ? nullptr
-                      : findRun(Order.To.WorkerId, Order.Task, Order.Run);
+                      : findRun(Order.Worker.WorkerId, Order.Task, Order.Run);
   Fenced = Fenced || Outcome == OrderOutcome::Fenced;
   if (Run == nullptr) {
     return;
@@ -321,7 +321,7 @@
   // The order may have been carried out or may still be, so the worker's pace
   // is unknown until the next order succeeds.
   Run->Pace.reset();
-  Workers.at(Order.To.WorkerId).NextPaceAt = Time.now() + PaceRetryDelay;
+  Workers.at(Order.Worker.WorkerId).NextPaceAt = Time.now() + PaceRetryDelay;
 }
 
 void Dispatcher::handleQueryReply(const PermitQuery &Query, Instant AskedAt,
@@ -348,14 +348,14 @@
 void Dispatcher::handleStopReply(const StopOrder &Order, OrderOutcome Outcome) {
   RunState *Run = Table == nullptr
                       ? nullptr
-                      : findRun(Order.To.WorkerId, Order.Task, Order.Run);
+                      : findRun(Order.Worker.WorkerId, Order.Task, Order.Run);
   if (Run == nullptr) {
     return;
   }
   Run->StopInFlight = false;
   if (Outcome == OrderOutcome::Done || Outcome == OrderOutcome::StaleRun) {
     Run->StopConfirmedAt = Time.now();
-    WorkerState &Worker = Workers.at(Order.To.WorkerId);
+    WorkerState &Worker = Workers.at(Order.Worker.WorkerId);
     Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Time.now());
   }
   Fenced = Fenced || Outcome == OrderOutcome::Fenced;
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -22,7 +22,7 @@
 /// Renews the leases of all runs and asks for a report of running and ended
 /// tasks.
 struct RenewOrder {
-  WorkerAddress To;
+  WorkerAddress Worker;
   FencingToken Token;
   /// Ends up to this number are recorded, so the worker may forget them.
   std::uint64_t LastRecordedEnd = 0;
@@ -36,7 +36,7 @@
 
 /// Starts a run of a task.
 struct StartOrder {
-  WorkerAddress To;
+  WorkerAddress Worker;
   FencingToken Token;
   TaskRef Task;
   std::uint32_t Run = 0;
@@ -51,7 +51,7 @@
 
 /// Stops a run of a task.
 struct StopOrder {
-  WorkerAddress To;
+  WorkerAddress Worker;
   FencingToken Token;
   TaskRef Task;
   std::uint32_t Run = 0;
@@ -61,7 +61,7 @@
 
 /// Throttles a best-effort task to a percentage of its full speed.
 struct PaceOrder {
-  WorkerAddress To;
+  WorkerAddress Worker;
   FencingToken Token;
   TaskRef Task;
   std::uint32_t Run = 0;
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -326,7 +326,7 @@
   const Duration Delay = ExtraDelay.value_or(NetworkDelay);
   const std::string &WorkerId = std::visit(
       [](const auto &TypedOrder) -> const std::string & {
-        return TypedOrder.To.WorkerId;
+        return TypedOrder.Worker.WorkerId;
       },
       Order);
   const std::int64_t IntendedIncarnation =
@@ -344,7 +344,7 @@
       return;
     }
     if (const auto *Renew = std::get_if<RenewOrder>(&Order)) {
-      JobDispatcher->handleRenewReply(Renew->To.WorkerId,
+      JobDispatcher->handleRenewReply(Renew->Worker.WorkerId,
                                       Time.now() - ReplyTimeout,
                                       OrderOutcome::Unknown, {});
     } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
@@ -372,18 +372,18 @@
   const bool ReplyArrives = SendsReply && SenderTerm == Term;
   const Instant SentAt = Time.now() - NetworkDelay;
   if (const auto *Renew = std::get_if<RenewOrder>(&Order)) {
-    FakeWorker &Worker = *find(Renew->To.WorkerId);
+    FakeWorker &Worker = *find(Renew->Worker.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
     RenewReport Report;
     if (IsReachable(Worker, Outcome)) {
       Report = Worker.renew(*Renew, Time.now(), Outcome, Observed);
     }
     if (ReplyArrives) {
-      JobDispatcher->handleRenewReply(Renew->To.WorkerId, SentAt, Outcome,
+      JobDispatcher->handleRenewReply(Renew->Worker.WorkerId, SentAt, Outcome,
                                       Report);
     }
   } else if (const auto *Start = std::get_if<StartOrder>(&Order)) {
-    FakeWorker &Worker = *find(Start->To.WorkerId);
+    FakeWorker &Worker = *find(Start->Worker.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
     if (IsReachable(Worker, Outcome)) {
       Outcome = Worker.start(*Start, isLongRunning(Start->Task), Time.now(),
@@ -393,7 +393,7 @@
       JobDispatcher->handleStartReply(*Start, Outcome);
     }
   } else if (const auto *Stop = std::get_if<StopOrder>(&Order)) {
-    FakeWorker &Worker = *find(Stop->To.WorkerId);
+    FakeWorker &Worker = *find(Stop->Worker.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
     if (IsReachable(Worker, Outcome)) {
       Outcome = Worker.stop(*Stop, Time.now(), Observed);
@@ -403,7 +403,7 @@
     }
   } else {
     const auto &Pace = std::get<PaceOrder>(Order);
-    FakeWorker &Worker = *find(Pace.To.WorkerId);
+    FakeWorker &Worker = *find(Pace.Worker.WorkerId);
     OrderOutcome Outcome = OrderOutcome::Unknown;
     if (IsReachable(Worker, Outcome)) {
       Outcome = Worker.pace(Pace);
