--- a/Source/Dispatch/DispatcherReports.cpp
+++ b/Source/Dispatch/DispatcherReports.cpp
@@ -266,7 +266,7 @@
   case OrderOutcome::Fenced:
     Fenced = true;
     break;
-  case OrderOutcome::TooLate:
+  case OrderOutcome::LeaseExpired:
   case OrderOutcome::StaleRun:
   case OrderOutcome::Invalid:
     Worker.NextRenewalAt = std::min(Worker.NextRenewalAt, Now);
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Orders.h
@@ -118,7 +118,7 @@
   /// The worker lacks free resources.
   InsufficientResources,
   /// The lease had expired by the worker's clock when the order arrived.
-  TooLate,
+  LeaseExpired,
   /// The run number is not current for the task.
   StaleRun,
   /// The placement policy's permit is not valid.
--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -85,7 +85,7 @@
   }
   HighestToken = Order.Token;
   if (Order.LeaseUntil <= clock(Now)) {
-    return OrderOutcome::TooLate;
+    return OrderOutcome::LeaseExpired;
   }
   if (Order.Ticket != RequiredTicket) {
     return OrderOutcome::NoPermit;
