--- a/Source/Dispatch/HostScheduler.cpp
+++ b/Source/Dispatch/HostScheduler.cpp
@@ -234,8 +234,8 @@
 
 unsigned HostScheduler::desiredDrains(const Wave &ActiveWave,
                                       std::size_t HostsLeft) const {
-  const Duration PlannedTime = ActiveWave.Request.TimeAllowed *
-                               (100 - Settings.WaveReservePercent) / 100;
+  const Duration PlannedTime =
+      ActiveWave.Request.TimeLimit * (100 - Settings.WaveReservePercent) / 100;
   const Duration TimeLeft = std::max<Duration>(
       HostCycleEstimate, PlannedTime - (Time.now() - ActiveWave.BegunAt));
   const auto CyclesLeft =
--- a/Source/Dispatch/include/balsamlatch/Dispatch/Hosts.h
+++ b/Source/Dispatch/include/balsamlatch/Dispatch/Hosts.h
@@ -35,7 +35,7 @@
   std::uint64_t Number = 0;
   std::vector<HostName> Hosts;
   /// Time limit of the wave, counted from the request.
-  Duration TimeAllowed{};
+  Duration TimeLimit{};
   /// Maximum number of hosts of the wave in maintenance at the same time.
   unsigned MaxAway = 1;
 
--- a/Tests/Dispatch/HostSchedulerTest.cpp
+++ b/Tests/Dispatch/HostSchedulerTest.cpp
@@ -85,7 +85,7 @@
   for (const HostRecord &Host : Hosts) {
     Wave.Hosts.push_back(Host.Name);
   }
-  Wave.TimeAllowed = 30s;
+  Wave.TimeLimit = 30s;
   Wave.MaxAway = MaxAway;
   return Wave;
 }
--- a/Tests/PlatformAdapter/AdapterTest.cpp
+++ b/Tests/PlatformAdapter/AdapterTest.cpp
@@ -157,7 +157,7 @@
   const auto Wave =
       decodeWave(R"({"wave":1,"machines":["m"],"duration_s":2.5,"maximum":3})");
   BOOST_REQUIRE(Wave.ok());
-  BOOST_TEST((Wave->TimeAllowed == 2500ms));
+  BOOST_TEST((Wave->TimeLimit == 2500ms));
   BOOST_TEST(Wave->MaxAway == 3);
 }
 
