--- a/Source/Control/HostControl.cpp
+++ b/Source/Control/HostController.cpp
@@ -2,7 +2,7 @@
 /// Lists hosts, records and sends orders about them, and stores the status and
 /// progress of waves.
 
-#include "balsamlatch/Control/HostControl.h"
+#include "balsamlatch/Control/HostController.h"
 
 #include <boost/json.hpp>
 #include <fmt/format.h>
@@ -48,7 +48,7 @@
 };
 
 std::string progressKey(std::uint64_t Wave) {
-  return fmt::format("{}{}", HostControl::ProgressPrefix, Wave);
+  return fmt::format("{}{}", HostController::ProgressPrefix, Wave);
 }
 
 std::string encodeProgress(const WaveProgress &Progress) {
@@ -80,17 +80,17 @@
 
 } // namespace
 
-HostControl::HostControl(EventLoop &CallbackLoop, const Clock &TimeSource,
-                         LogSink &Sink, RecordStore &Backend,
-                         HostPort &HostAdapter, Holder &Controller,
-                         dispatch::HostSchedulerOptions Options,
-                         WaveReportFormat ReportFormat)
+HostController::HostController(EventLoop &CallbackLoop, const Clock &TimeSource,
+                               LogSink &Sink, RecordStore &Backend,
+                               HostPort &HostAdapter, Holder &Controller,
+                               dispatch::HostSchedulerOptions Options,
+                               WaveReportFormat ReportFormat)
     : Loop(CallbackLoop), Time(TimeSource), Log(Sink), Store(Backend),
       Hosts(HostAdapter), LocalController(Controller),
       WaveReports(std::move(ReportFormat)),
       Scheduler(TimeSource, Options, Sink) {}
 
-void HostControl::begin() {
+void HostController::begin() {
   ++Term;
   IsLeading = true;
   Scheduler.begin();
@@ -117,18 +117,18 @@
   tick();
 }
 
-void HostControl::end() {
+void HostController::end() {
   ++Term;
   IsLeading = false;
 }
 
-void HostControl::setWaves(std::vector<dispatch::WaveRequest> NewWaves) {
+void HostController::setWaves(std::vector<dispatch::WaveRequest> NewWaves) {
   Waves = std::move(NewWaves);
   addOpenWaves();
 }
 
-void HostControl::loadStoredValues(const std::string &Prefix,
-                                   std::function<void()> Callback) {
+void HostController::loadStoredValues(const std::string &Prefix,
+                                      std::function<void()> Callback) {
   Store.list(Prefix, "",
              [this, Prefix, Callback = std::move(Callback),
               CallTerm = Term](const PageReply &Reply) {
@@ -150,7 +150,7 @@
              });
 }
 
-void HostControl::addOpenWaves() {
+void HostController::addOpenWaves() {
   if (!IsLeading || !StoredValuesLoaded) {
     return;
   }
@@ -164,7 +164,7 @@
   }
 }
 
-void HostControl::resumeWave(const dispatch::WaveRequest &Wave) {
+void HostController::resumeWave(const dispatch::WaveRequest &Wave) {
   WallTime &FirstSeen =
       WaveFirstSeen.try_emplace(Wave.Number, Time.wallNow()).first->second;
   const auto StoredProgress = StoredValues.find(progressKey(Wave.Number));
@@ -188,7 +188,7 @@
   reportWave(Wave.Number, false);
 }
 
-void HostControl::tick() {
+void HostController::tick() {
   if (!IsLeading) {
     return;
   }
@@ -214,7 +214,7 @@
   });
 }
 
-void HostControl::scheduleList() {
+void HostController::scheduleList() {
   if (std::exchange(ListScheduled, true)) {
     return;
   }
@@ -229,7 +229,7 @@
   });
 }
 
-void HostControl::listHosts() {
+void HostController::listHosts() {
   ListInFlight = true;
   Hosts.list([this, CallTerm = Term](
                  absl::StatusOr<std::vector<dispatch::HostRecord>> Reply) {
@@ -255,7 +255,7 @@
   });
 }
 
-void HostControl::recordOrders() {
+void HostController::recordOrders() {
   if (PendingOrders.empty() || RecordInFlight) {
     return;
   }
@@ -289,7 +289,7 @@
       });
 }
 
-void HostControl::sendOrder(const dispatch::HostOrder &Order) {
+void HostController::sendOrder(const dispatch::HostOrder &Order) {
   Log.write(LogLevel::Info, "host-ordered",
             {{"host", Order.Host.Text},
              {"wave", Order.Wave},
@@ -311,8 +311,8 @@
   }
 }
 
-void HostControl::handleOrderReply(const dispatch::HostOrder &Order,
-                                   HostOutcome Outcome) {
+void HostController::handleOrderReply(const dispatch::HostOrder &Order,
+                                      HostOutcome Outcome) {
   const bool IsAccepted = Outcome == HostOutcome::Done;
   if (IsAccepted || Outcome == HostOutcome::Unknown) {
     // A list in flight may be older than the order.
@@ -330,7 +330,7 @@
   Scheduler.handleRefusal(Order, LocalController.dispatcher());
 }
 
-void HostControl::saveProgress() {
+void HostController::saveProgress() {
   for (const dispatch::WaveRequest &Wave : Waves) {
     if (Scheduler.hasWave(Wave.Number)) {
       writeIfChanged(progressKey(Wave.Number),
@@ -340,12 +340,12 @@
   }
 }
 
-void HostControl::reportWave(std::uint64_t Wave, bool IsCompleted) {
+void HostController::reportWave(std::uint64_t Wave, bool IsCompleted) {
   writeIfChanged(WaveReports.Key(Wave), WaveReports.Value(IsCompleted));
 }
 
-void HostControl::writeIfChanged(const std::string &Key,
-                                 const std::string &Value) {
+void HostController::writeIfChanged(const std::string &Key,
+                                    const std::string &Value) {
   const auto StoredValue = StoredValues.find(Key);
   if ((StoredValue != StoredValues.end() && StoredValue->second == Value) ||
       !KeysInFlight.insert(Key).second) {
--- a/Source/Control/include/balsamlatch/Control/HostControl.h
+++ b/Source/Control/include/balsamlatch/Control/HostController.h
@@ -2,15 +2,15 @@
 /// Moves and maintains hosts while this process leads: lists the hosts, sends
 /// the host keeper's orders, and reports the status of maintenance waves.
 
-#ifndef BALSAMLATCH_CONTROL_HOSTCONTROL_H
-#define BALSAMLATCH_CONTROL_HOSTCONTROL_H
+#ifndef BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
+#define BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
 
 #include "balsamlatch/Control/Holder.h"
 #include "balsamlatch/Dispatch/HostScheduler.h"
 
 namespace balsamlatch::control {
 
-class HostControl {
+class HostController {
 public:
   /// Key and value under which the status of a wave is stored for the operator.
   struct WaveReportFormat {
@@ -24,10 +24,10 @@
   /// sent, under the condition that this process still leads.
   static constexpr std::string_view OrdersKey = "fleet/orders";
 
-  HostControl(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
-              RecordStore &Backend, HostPort &HostAdapter, Holder &Controller,
-              dispatch::HostSchedulerOptions Options,
-              WaveReportFormat ReportFormat);
+  HostController(EventLoop &CallbackLoop, const Clock &TimeSource,
+                 LogSink &Sink, RecordStore &Backend, HostPort &HostAdapter,
+                 Holder &Controller, dispatch::HostSchedulerOptions Options,
+                 WaveReportFormat ReportFormat);
 
   /// Starts work at the beginning of a term of this process.
   void begin();
@@ -85,4 +85,4 @@
 
 } // namespace balsamlatch::control
 
-#endif // BALSAMLATCH_CONTROL_HOSTCONTROL_H
+#endif // BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
