--- a/Source/Control/LeaderFinder.cpp
+++ b/Source/Control/LeaderFinder.cpp
@@ -84,7 +84,7 @@
     const EntryRecord &Entry,
     std::function<void(const LeaderView &)> Callback) {
   PeerClient.call(
-      Entry.Ip, Entry.Port, {"GET", std::string(LeadPath), {}, "", ""},
+      Entry.Ip, Entry.Port, {"GET", std::string(LeaderPath), {}, "", ""},
       QueryTimeout,
       [Callback = std::move(Callback)](const http::Outcome &Outcome) {
         if (!Outcome.Status.ok()) {
--- a/Source/Control/include/balsamlatch/Control/LeaderFinder.h
+++ b/Source/Control/include/balsamlatch/Control/LeaderFinder.h
@@ -12,7 +12,7 @@
 namespace balsamlatch::control {
 
 /// Path under which an entry serves its view of the leader, for GET.
-inline constexpr std::string_view LeadPath = "/lead";
+inline constexpr std::string_view LeaderPath = "/lead";
 
 http::Response encodeLeadView(const LeaderView &View);
 absl::StatusOr<LeaderView> decodeLeaderView(const http::Response &Message);
