--- a/Source/Control/LeaderFinder.cpp
+++ b/Source/Control/LeaderFinder.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-http::Response encodeLeadView(const LeaderView &View) {
+http::Response encodeLeaderView(const LeaderView &View) {
   json::object Body{{"token", View.Token}, {"can_lead", View.CanLead}};
   if (View.Leader) {
     Body["holder"] = encodeEntry(*View.Leader);
--- a/Source/Control/include/balsamlatch/Control/LeaderFinder.h
+++ b/Source/Control/include/balsamlatch/Control/LeaderFinder.h
@@ -14,7 +14,7 @@
 /// Path under which an entry serves its view of the leader, for GET.
 inline constexpr std::string_view LeaderPath = "/lead";
 
-http::Response encodeLeadView(const LeaderView &View);
+http::Response encodeLeaderView(const LeaderView &View);
 absl::StatusOr<LeaderView> decodeLeaderView(const http::Response &Message);
 
 class LeaderFinder {
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -311,7 +311,7 @@
   Options.Ip = "127.0.0.1";
   http::Server Server(Loop.context(), Options,
                       [&](const http::Exchange &Exchange) {
-                        Exchange.Respond(encodeLeadView(StrongView));
+                        Exchange.Respond(encodeLeaderView(StrongView));
                       });
   BOOST_REQUIRE(Server.start().ok());
   Store.put("lead/entries/strong",
