--- a/Source/Control/HolderRequests.cpp
+++ b/Source/Control/HolderRequests.cpp
@@ -80,7 +80,7 @@
   appendEvents();
 }
 
-void Holder::handle(const AskJob &Request, const ReplyCallback &Callback) {
+void Holder::handle(const QueryJob &Request, const ReplyCallback &Callback) {
   const jobs::Job *ExistingJob = Table->find(Request.Job);
   if (ExistingJob != nullptr) {
     JobReply Reply{JobReply::Done};
--- a/Source/Control/JobWire.cpp
+++ b/Source/Control/JobWire.cpp
@@ -33,7 +33,7 @@
             "",
             ""};
   }
-  http::Request operator()(const AskJob &Request) const {
+  http::Request operator()(const QueryJob &Request) const {
     return {"GET",
             fmt::format("{}{}", JobPathPrefix, Request.Job.Text),
             {},
@@ -66,7 +66,7 @@
   }
   const jobs::JobId Job(std::string(Path.substr(JobPathPrefix.size())));
   if (Message.Method == "GET") {
-    return AskJob{Job};
+    return QueryJob{Job};
   }
   if (Message.Method == "DELETE") {
     return CancelJob{Job};
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -111,7 +111,7 @@
 
   void handle(const SubmitJob &Request, const ReplyCallback &Callback);
   void handle(const CancelJob &Request, const ReplyCallback &Callback);
-  void handle(const AskJob &Request, const ReplyCallback &Callback);
+  void handle(const QueryJob &Request, const ReplyCallback &Callback);
   void handle(const AskQueue &Request, const ReplyCallback &Callback);
   void completePendingRequests();
 
--- a/Source/Control/include/balsamlatch/Control/JobService.h
+++ b/Source/Control/include/balsamlatch/Control/JobService.h
@@ -26,10 +26,10 @@
   auto operator<=>(const CancelJob &) const = default;
 };
 
-struct AskJob {
+struct QueryJob {
   jobs::JobId Job;
 
-  auto operator<=>(const AskJob &) const = default;
+  auto operator<=>(const QueryJob &) const = default;
 };
 
 struct AskQueue {
@@ -38,7 +38,7 @@
   auto operator<=>(const AskQueue &) const = default;
 };
 
-using JobRequest = std::variant<SubmitJob, CancelJob, AskJob, AskQueue>;
+using JobRequest = std::variant<SubmitJob, CancelJob, QueryJob, AskQueue>;
 
 /// Outcome of a job request.
 struct JobReply {
@@ -58,7 +58,7 @@
   };
 
   OutcomeKind Outcome = Unknown;
-  /// State of the job, in replies to AskJob.
+  /// State of the job, in replies to QueryJob.
   jobs::JobState State = jobs::JobState::Queued;
   /// Number of pending jobs, in replies to AskQueue.
   unsigned Pending = 0;
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -193,12 +193,12 @@
   auto SecondEntry = startEntry("two");
   FirstEntry->retire();
   BOOST_TEST(runUntil([&] { return SecondEntry->leading(); }));
-  BOOST_TEST((sendRequest(*SecondEntry, AskJob{jobs::JobId("a")})->Outcome ==
+  BOOST_TEST((sendRequest(*SecondEntry, QueryJob{jobs::JobId("a")})->Outcome ==
               JobReply::Done));
   BOOST_TEST(
       (sendRequest(*SecondEntry, submitJob("a"))->Outcome == JobReply::Done));
   BOOST_TEST(SecondEntry->jobTable().jobs().size() == 1);
-  BOOST_TEST((sendRequest(*SecondEntry, AskJob{jobs::JobId("b")})->Outcome ==
+  BOOST_TEST((sendRequest(*SecondEntry, QueryJob{jobs::JobId("b")})->Outcome ==
               JobReply::NoSuchJob));
   BOOST_TEST((sendRequest(*FirstEntry, submitJob("c"))->Outcome ==
               JobReply::NotHolder));
@@ -258,7 +258,7 @@
   JobRouter Router(Loop, Time, Log, *Leader, PeerClient);
   std::optional<JobReply> FinalReply;
   const Instant Deadline = Time.now() + 50ms;
-  Router.request(AskJob{jobs::JobId("a")}, {Deadline, Deadline},
+  Router.request(QueryJob{jobs::JobId("a")}, {Deadline, Deadline},
                  [&](const JobReply &Reply) { FinalReply = Reply; });
   BOOST_TEST(runUntil([&] { return FinalReply.has_value(); }));
   BOOST_TEST((FinalReply->Outcome == JobReply::NotHolder));
@@ -399,7 +399,7 @@
   BOOST_TEST(runUntil([&] { return SecondEntry->leading(); }));
   for (int Number = 0; Number < Jobs; ++Number) {
     const auto Reply = sendRequest(
-        *SecondEntry, AskJob{jobs::JobId(fmt::format("j{}", Number))});
+        *SecondEntry, QueryJob{jobs::JobId(fmt::format("j{}", Number))});
     BOOST_TEST((Reply->State == jobs::JobState::Cancelled));
   }
 }
@@ -461,7 +461,7 @@
   Submit.Spec.Steps[1].LongRunning = true;
   for (const JobRequest &Request :
        {JobRequest(Submit), JobRequest(CancelJob{Submit.Job}),
-        JobRequest(AskJob{Submit.Job}), JobRequest(AskQueue{Submit.Queue})}) {
+        JobRequest(QueryJob{Submit.Job}), JobRequest(AskQueue{Submit.Queue})}) {
     const auto Decoded = decodeRequest(encodeRequest(Request));
     BOOST_REQUIRE(Decoded.ok());
     BOOST_TEST((*Decoded == Request));
