--- a/Source/Control/HolderRequests.cpp
+++ b/Source/Control/HolderRequests.cpp
@@ -92,7 +92,7 @@
   Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
 }
 
-void Holder::handle(const AskQueue &Request, const ReplyCallback &Callback) {
+void Holder::handle(const QueryQueue &Request, const ReplyCallback &Callback) {
   if (!holdsLease()) {
     Callback({JobReply::NotHolder});
     return;
--- a/Source/Control/JobRouter.cpp
+++ b/Source/Control/JobRouter.cpp
@@ -53,7 +53,7 @@
   }
   Finder.findLeader();
   const Instant Deadline = Time.now() + ProbeTimeout;
-  request(AskQueue{}, {Deadline, Deadline},
+  request(QueryQueue{}, {Deadline, Deadline},
           [this](const JobReply &) { ProbeInFlight = false; });
 }
 
--- a/Source/Control/JobWire.cpp
+++ b/Source/Control/JobWire.cpp
@@ -40,7 +40,7 @@
             "",
             ""};
   }
-  http::Request operator()(const AskQueue &Request) const {
+  http::Request operator()(const QueryQueue &Request) const {
     return {"GET",
             fmt::format("{}{}", QueuePathPrefix, Request.Queue.Text),
             {},
@@ -58,7 +58,7 @@
 absl::StatusOr<JobRequest> decodeRequest(const http::Request &Message) {
   const std::string_view Path = Message.path();
   if (Path.starts_with(QueuePathPrefix) && Message.Method == "GET") {
-    return AskQueue{
+    return QueryQueue{
         jobs::QueueName(std::string(Path.substr(QueuePathPrefix.size())))};
   }
   if (!Path.starts_with(JobPathPrefix)) {
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -112,7 +112,7 @@
   void handle(const SubmitJob &Request, const ReplyCallback &Callback);
   void handle(const CancelJob &Request, const ReplyCallback &Callback);
   void handle(const QueryJob &Request, const ReplyCallback &Callback);
-  void handle(const AskQueue &Request, const ReplyCallback &Callback);
+  void handle(const QueryQueue &Request, const ReplyCallback &Callback);
   void completePendingRequests();
 
   EventLoop &Loop;
--- a/Source/Control/include/balsamlatch/Control/JobService.h
+++ b/Source/Control/include/balsamlatch/Control/JobService.h
@@ -32,13 +32,13 @@
   auto operator<=>(const QueryJob &) const = default;
 };
 
-struct AskQueue {
+struct QueryQueue {
   jobs::QueueName Queue;
 
-  auto operator<=>(const AskQueue &) const = default;
+  auto operator<=>(const QueryQueue &) const = default;
 };
 
-using JobRequest = std::variant<SubmitJob, CancelJob, QueryJob, AskQueue>;
+using JobRequest = std::variant<SubmitJob, CancelJob, QueryJob, QueryQueue>;
 
 /// Outcome of a job request.
 struct JobReply {
@@ -60,7 +60,7 @@
   OutcomeKind Outcome = Unknown;
   /// State of the job, in replies to QueryJob.
   jobs::JobState State = jobs::JobState::Queued;
-  /// Number of pending jobs, in replies to AskQueue.
+  /// Number of pending jobs, in replies to QueryQueue.
   unsigned Pending = 0;
   Duration RetryAfter{};
 
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -461,7 +461,8 @@
   Submit.Spec.Steps[1].LongRunning = true;
   for (const JobRequest &Request :
        {JobRequest(Submit), JobRequest(CancelJob{Submit.Job}),
-        JobRequest(QueryJob{Submit.Job}), JobRequest(AskQueue{Submit.Queue})}) {
+        JobRequest(QueryJob{Submit.Job}),
+        JobRequest(QueryQueue{Submit.Queue})}) {
     const auto Decoded = decodeRequest(encodeRequest(Request));
     BOOST_REQUIRE(Decoded.ok());
     BOOST_TEST((*Decoded == Request));
