--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -35,8 +35,8 @@
 
 void Holder::handleElectionChange() {
   Registry.update(ElectionMirror.items());
-  if (OnEntries) {
-    OnEntries();
+  if (OnEntriesChanged) {
+    OnEntriesChanged();
   }
   const auto LeaderIt = ElectionMirror.items().find(Settings.LeaderKey);
   if (LeaderIt == ElectionMirror.items().end()) {
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -82,7 +82,7 @@
   const jobs::JobTable &jobTable() const { return *Table; }
 
   /// Called when the set of registered entries may have changed.
-  std::function<void()> OnEntries;
+  std::function<void()> OnEntriesChanged;
   /// Called when a term of this entry begins or ends.
   std::function<void(bool Leading)> OnTerm;
 
