--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -207,8 +207,8 @@
              {"jobs", Table->jobs().size()},
              {"records", JobJournal.nextNumber() - JobJournal.oldestNumber()},
              {"workers", WorkerRecords.size()}});
-  if (OnTerm) {
-    OnTerm(true);
+  if (OnLeadershipChanged) {
+    OnLeadershipChanged(true);
   }
   tick();
 }
@@ -234,8 +234,8 @@
       Callback({JobReply::Unknown});
     }
   }
-  if (WasLeading && OnTerm) {
-    OnTerm(false);
+  if (WasLeading && OnLeadershipChanged) {
+    OnLeadershipChanged(false);
   }
   ElectionMirror.refresh();
 }
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -84,7 +84,7 @@
   /// Called when the set of registered entries may have changed.
   std::function<void()> OnEntriesChanged;
   /// Called when a term of this entry begins or ends.
-  std::function<void(bool Leading)> OnTerm;
+  std::function<void(bool Leading)> OnLeadershipChanged;
 
 private:
   enum ElectionState { Following, Acquiring, Loading, Leading, Retired };
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -326,7 +326,7 @@
   BOOST_TEST(WeakEntry->leading());
   StrongView.CanLead = true;
   bool HasSteppedDown = false;
-  WeakEntry->OnTerm = [&](bool Leading) {
+  WeakEntry->OnLeadershipChanged = [&](bool Leading) {
     HasSteppedDown = HasSteppedDown || !Leading;
   };
   runFor(2500ms);
