--- a/Source/Control/PolicyRelay.cpp
+++ b/Source/Control/PolicyRelay.cpp
@@ -100,7 +100,7 @@
   Slots.emplace("", QuerySlot());
 }
 
-void PolicyRelay::setOthers(const std::vector<EntryRecord> &Entries) {
+void PolicyRelay::setOtherEntries(const std::vector<EntryRecord> &Entries) {
   for (const EntryRecord &Entry : Entries) {
     Slots[Entry.Name].Entry = Entry;
   }
--- a/Source/Control/include/balsamlatch/Control/PolicyRelay.h
+++ b/Source/Control/include/balsamlatch/Control/PolicyRelay.h
@@ -28,7 +28,7 @@
 
   /// Adds a query slot for each new entry, and updates the addresses of known
   /// ones.
-  void setOthers(const std::vector<EntryRecord> &Entries);
+  void setOtherEntries(const std::vector<EntryRecord> &Entries);
   std::size_t slots() const override;
 
   void ask(const dispatch::PermitQuery &Query, Done Callback) override;
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -433,7 +433,7 @@
   BOOST_REQUIRE(Server.start().ok());
   BOOST_TEST(LeaderRelay.slots() == 1);
   // The third entry's port is closed.
-  LeaderRelay.setOthers(
+  LeaderRelay.setOtherEntries(
       {{"two", "127.0.0.1", Server.port(), 0}, {"three", "127.0.0.1", 1, 0}});
   BOOST_TEST(LeaderRelay.slots() == 3);
   const dispatch::PermitQuery Query{
