--- a/Source/Control/LeaderFinder.cpp
+++ b/Source/Control/LeaderFinder.cpp
@@ -71,9 +71,10 @@
   }
   NextSearchAt = Time.now() + MinSearchInterval;
   LocalController.refreshLeader();
-  const std::vector<EntryRecord> &Others = LocalController.registry().others();
-  if (!Others.empty()) {
-    queryEntry(Others[++LastQueriedIndex % Others.size()],
+  const std::vector<EntryRecord> &OtherEntries =
+      LocalController.registry().otherEntries();
+  if (!OtherEntries.empty()) {
+    queryEntry(OtherEntries[++LastQueriedIndex % OtherEntries.size()],
                [this](const LeaderView &View) {
                  LocalController.mergeLeaderView(View);
                });
@@ -100,9 +101,11 @@
   if (!LocalController.leading()) {
     return;
   }
-  const std::vector<EntryRecord> &Others = LocalController.registry().others();
-  for (std::size_t Attempt = 0; Attempt < Others.size(); ++Attempt) {
-    const EntryRecord &Other = Others[++LastQueriedIndex % Others.size()];
+  const std::vector<EntryRecord> &OtherEntries =
+      LocalController.registry().otherEntries();
+  for (std::size_t Attempt = 0; Attempt < OtherEntries.size(); ++Attempt) {
+    const EntryRecord &Other =
+        OtherEntries[++LastQueriedIndex % OtherEntries.size()];
     if (!LocalController.registry().isPreferredLeader(Other)) {
       continue;
     }
--- a/Source/Control/include/balsamlatch/Control/EntryRegistry.h
+++ b/Source/Control/include/balsamlatch/Control/EntryRegistry.h
@@ -43,7 +43,7 @@
   /// Time that this entry waits before it claims vacant leadership, so that a
   /// preferred leader can claim it first.
   Duration electionDelay() const;
-  const std::vector<EntryRecord> &others() const { return OtherEntries; }
+  const std::vector<EntryRecord> &otherEntries() const { return OtherEntries; }
   /// Whether the other entry has so much more processor time than this one that
   /// it should lead instead.
   bool isPreferredLeader(const EntryRecord &Other) const;
