--- a/Source/Control/JobRouter.cpp
+++ b/Source/Control/JobRouter.cpp
@@ -58,7 +58,7 @@
 }
 
 void JobRouter::sendAttempt(const std::shared_ptr<PendingRequest> &Pending) {
-  if (LocalController.leading()) {
+  if (LocalController.isLeading()) {
     LocalController.request(Pending->Request,
                             [this, Pending](const JobReply &Reply) {
                               handleReply(Pending, Reply);
--- a/Source/Control/LeaderFinder.cpp
+++ b/Source/Control/LeaderFinder.cpp
@@ -98,7 +98,7 @@
 }
 
 void LeaderFinder::offerLeadership() {
-  if (!LocalController.leading()) {
+  if (!LocalController.isLeading()) {
     return;
   }
   const std::vector<EntryRecord> &OtherEntries =
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -70,7 +70,7 @@
   /// Ends this term so that an entry with more processor time can lead.
   void yieldLeadership();
   const EntryRegistry &registry() const { return Registry; }
-  bool leading() const { return State == Leading; }
+  bool isLeading() const { return State == Leading; }
   /// Whether this entry leads and its lease can't have expired yet.
   bool holdsLease() const;
   dispatch::FencingToken token() const { return dispatch::FencingToken(Token); }
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -187,12 +187,12 @@
 
 BOOST_FIXTURE_TEST_CASE(AcceptedJobsSurviveALeaderChange, ElectionFixture) {
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   BOOST_TEST(
       (sendRequest(*FirstEntry, submitJob("a"))->Outcome == JobReply::Done));
   auto SecondEntry = startEntry("two");
   FirstEntry->retire();
-  BOOST_TEST(runUntil([&] { return SecondEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return SecondEntry->isLeading(); }));
   BOOST_TEST((sendRequest(*SecondEntry, QueryJob{jobs::JobId("a")})->Outcome ==
               JobReply::Done));
   BOOST_TEST(
@@ -207,13 +207,13 @@
 BOOST_FIXTURE_TEST_CASE(ALeaderWithAnOverwrittenKeyAcceptsNoJobs,
                         ElectionFixture) {
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   Store.put("lead/jobs", encodeEntry({"two", "127.0.0.1", 2}));
   const std::optional<JobReply> Reply =
       sendRequest(*FirstEntry, submitJob("a"));
   BOOST_TEST((Reply->Outcome == JobReply::Unknown ||
               Reply->Outcome == JobReply::NotHolder));
-  BOOST_TEST(runUntil([&] { return !FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return !FirstEntry->isLeading(); }));
   for (const auto &[Key, Item] : Store.Items) {
     BOOST_TEST(!Key.starts_with("journal/"));
   }
@@ -221,16 +221,16 @@
 
 BOOST_FIXTURE_TEST_CASE(ALeaderStepsDownWhenItsLeaseExpires, ElectionFixture) {
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   Store.expire(Store.Items.at("lead/jobs").Lease);
-  BOOST_TEST(runUntil([&] { return !FirstEntry->leading(); }));
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return !FirstEntry->isLeading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
 }
 
 BOOST_FIXTURE_TEST_CASE(JobsAreRefusedAtOnceWhileTheStoreIsUnavailable,
                         ElectionFixture) {
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   Store.IsUnavailable = true;
   std::optional<JobReply> EarlierReply;
   FirstEntry->request(submitJob("a"),
@@ -265,7 +265,7 @@
   BOOST_TEST(Router.failingFor(0ms));
   BOOST_TEST(!Router.failingFor(1s));
   Store.IsUnavailable = false;
-  BOOST_TEST(runUntil([&] { return Leader->leading(); }));
+  BOOST_TEST(runUntil([&] { return Leader->isLeading(); }));
   Router.probe();
   BOOST_TEST(runUntil([&] { return !Router.failingFor(0ms); }));
 }
@@ -275,14 +275,14 @@
   Store.put("lead/entries/strong", encodeEntry({"strong", "::", 1, 500}));
   auto WeakEntry = startEntry("weak", 120);
   runFor(100ms);
-  BOOST_TEST(!WeakEntry->leading());
+  BOOST_TEST(!WeakEntry->isLeading());
   auto StrongEntry = startEntry("strong", 500);
-  BOOST_TEST(runUntil([&] { return StrongEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return StrongEntry->isLeading(); }));
   runFor(400ms);
-  BOOST_TEST(!WeakEntry->leading());
+  BOOST_TEST(!WeakEntry->isLeading());
   // After the stronger entry has retired, the weaker one leads.
   StrongEntry->retire();
-  BOOST_TEST(runUntil([&] { return WeakEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return WeakEntry->isLeading(); }));
 }
 
 BOOST_FIXTURE_TEST_CASE(ARestartedLeaderReplacesItsOwnKey, ElectionFixture) {
@@ -290,16 +290,16 @@
   Store.put("lead/jobs", encodeEntry({"one", "127.0.0.1", 1, 0}));
   auto OtherEntry = startEntry("two");
   runFor(500ms);
-  BOOST_TEST(!OtherEntry->leading());
+  BOOST_TEST(!OtherEntry->isLeading());
   auto RestartedEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return RestartedEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return RestartedEntry->isLeading(); }));
   BOOST_TEST((sendRequest(*RestartedEntry, submitJob("a"))->Outcome ==
               JobReply::Done));
 }
 
 BOOST_FIXTURE_TEST_CASE(RenewalsContinueAfterLostReplies, ElectionFixture) {
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   Store.RenewalsToIgnore = 2; // As on a connection that has gone silent.
   runFor(1300ms);
   BOOST_TEST(FirstEntry->holdsLease());
@@ -319,11 +319,11 @@
   auto WeakEntry = startEntry("weak", 120);
   http::Client PeerClient(Loop.context(), {});
   LeaderFinder Finder(Loop, Time, *WeakEntry, PeerClient);
-  BOOST_TEST(runUntil([&] { return WeakEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return WeakEntry->isLeading(); }));
   Finder.start();
   runFor(2500ms);
   // The stronger entry doesn't reach the store.
-  BOOST_TEST(WeakEntry->leading());
+  BOOST_TEST(WeakEntry->isLeading());
   StrongView.CanLead = true;
   bool HasSteppedDown = false;
   WeakEntry->OnLeadershipChanged = [&](bool Leading) {
@@ -337,20 +337,20 @@
                         ElectionFixture) {
   const EntryRecord NextLeader{"two", "127.0.0.1", 2};
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   const std::uint64_t Token = FirstEntry->token().Value;
   Store.IsUnavailable = true;
   FirstEntry->mergeLeaderView({NextLeader, Token - 1, false});
-  BOOST_TEST(FirstEntry->leading());
+  BOOST_TEST(FirstEntry->isLeading());
   FirstEntry->mergeLeaderView({NextLeader, Token + 1, false});
-  BOOST_TEST(!FirstEntry->leading());
+  BOOST_TEST(!FirstEntry->isLeading());
   BOOST_TEST((FirstEntry->knownLeader() == NextLeader));
 }
 
 BOOST_FIXTURE_TEST_CASE(APossiblyExecutedRequestIsRetriedUntilItsDeadline,
                         ElectionFixture) {
   auto Leader = startEntry("one");
-  BOOST_TEST(runUntil([&] { return Leader->leading(); }));
+  BOOST_TEST(runUntil([&] { return Leader->isLeading(); }));
   http::Client PeerClient(Loop.context(), {});
   JobRouter Router(Loop, Time, Log, *Leader, PeerClient);
   Store.IsUnavailable = true;
@@ -372,7 +372,7 @@
   MinAppendInterval = 0ms;
   constexpr int Jobs = 200;
   auto FirstEntry = startEntry("one");
-  BOOST_TEST(runUntil([&] { return FirstEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return FirstEntry->isLeading(); }));
   for (int Number = 0; Number < Jobs; ++Number) {
     const std::string Id = fmt::format("j{}", Number);
     BOOST_REQUIRE(
@@ -396,7 +396,7 @@
   BOOST_TEST(RecordCount() < 300);
   auto SecondEntry = startEntry("two");
   FirstEntry->retire();
-  BOOST_TEST(runUntil([&] { return SecondEntry->leading(); }));
+  BOOST_TEST(runUntil([&] { return SecondEntry->isLeading(); }));
   for (int Number = 0; Number < Jobs; ++Number) {
     const auto Reply = sendRequest(
         *SecondEntry, QueryJob{jobs::JobId(fmt::format("j{}", Number))});
