--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -96,7 +96,7 @@
   });
 }
 
-LeaderView Holder::view() const {
+LeaderView Holder::leaderView() const {
   return {KnownLeader, LatestToken,
           State == Following && ElectionMirror.isStoreReachable()};
 }
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/Holder.h
@@ -62,7 +62,7 @@
 
   /// The leader as far as this entry knows; empty if there is none.
   std::optional<EntryRecord> knownLeader() const { return KnownLeader; }
-  LeaderView view() const;
+  LeaderView leaderView() const;
   /// Adopts another entry's view if its fencing token is newer.
   void mergeLeaderView(const LeaderView &View);
   /// Reads the election keys again, for when the known leader doesn't answer.
