--- a/Source/Control/JobRouter.cpp
+++ b/Source/Control/JobRouter.cpp
@@ -43,7 +43,7 @@
 
 void JobRouter::start() { Finder.start(); }
 
-bool JobRouter::failingFor(Duration Length) const {
+bool JobRouter::hasFailedFor(Duration Length) const {
   return FailingSince && Time.now() - *FailingSince >= Length;
 }
 
--- a/Source/Control/include/balsamlatch/Control/JobRouter.h
+++ b/Source/Control/include/balsamlatch/Control/JobRouter.h
@@ -37,7 +37,7 @@
 
   /// Whether requests have failed to reach a leader for \p Length or longer.
   /// Callers should use another entry then.
-  bool failingFor(Duration Length) const;
+  bool hasFailedFor(Duration Length) const;
 
   /// Sends the leader a request without effect to see whether it replies again.
   void probe();
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -262,12 +262,12 @@
                  [&](const JobReply &Reply) { FinalReply = Reply; });
   BOOST_TEST(runUntil([&] { return FinalReply.has_value(); }));
   BOOST_TEST((FinalReply->Outcome == JobReply::NotHolder));
-  BOOST_TEST(Router.failingFor(0ms));
-  BOOST_TEST(!Router.failingFor(1s));
+  BOOST_TEST(Router.hasFailedFor(0ms));
+  BOOST_TEST(!Router.hasFailedFor(1s));
   Store.IsUnavailable = false;
   BOOST_TEST(runUntil([&] { return Leader->isLeading(); }));
   Router.probe();
-  BOOST_TEST(runUntil([&] { return !Router.failingFor(0ms); }));
+  BOOST_TEST(runUntil([&] { return !Router.hasFailedFor(0ms); }));
 }
 
 BOOST_FIXTURE_TEST_CASE(StrongerEntriesClaimVacantLeadershipFirst,
