--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -253,12 +253,12 @@
 
 void Holder::renewLease() {
   const Instant SentAt = Time.now();
-  Store.keepLease(LeaseId,
-                  [this, SentAt, Term = TermNumber](const LeaseReply &Reply) {
-                    if (Term == TermNumber) {
-                      handleRenewal(SentAt, Reply);
-                    }
-                  });
+  Store.renewLease(LeaseId,
+                   [this, SentAt, Term = TermNumber](const LeaseReply &Reply) {
+                     if (Term == TermNumber) {
+                       handleRenewal(SentAt, Reply);
+                     }
+                   });
   Loop.after(Settings.RenewPeriod, [this, Term = TermNumber] {
     if (Term == TermNumber) {
       renewLease();
--- a/Source/Control/include/balsamlatch/Control/RecordStore.h
+++ b/Source/Control/include/balsamlatch/Control/RecordStore.h
@@ -118,8 +118,8 @@
                       std::function<void(TransactionReply)> Callback) = 0;
   virtual void grantLease(Duration TimeToLive,
                           std::function<void(LeaseReply)> Callback) = 0;
-  virtual void keepLease(std::uint64_t Lease,
-                         std::function<void(LeaseReply)> Callback) = 0;
+  virtual void renewLease(std::uint64_t Lease,
+                          std::function<void(LeaseReply)> Callback) = 0;
   virtual void endLease(std::uint64_t Lease) = 0;
 };
 
--- a/Tests/Control/FakeStore.cpp
+++ b/Tests/Control/FakeStore.cpp
@@ -124,8 +124,8 @@
              [Callback = std::move(Callback), Reply] { Callback(Reply); });
 }
 
-void FakeStore::keepLease(std::uint64_t Lease,
-                          std::function<void(LeaseReply)> Callback) {
+void FakeStore::renewLease(std::uint64_t Lease,
+                           std::function<void(LeaseReply)> Callback) {
   if (RenewalsToIgnore > 0) {
     --RenewalsToIgnore;
     return;
--- a/Tests/Control/FakeStore.h
+++ b/Tests/Control/FakeStore.h
@@ -26,8 +26,8 @@
               std::function<void(TransactionReply)> Callback) override;
   void grantLease(Duration TimeToLive,
                   std::function<void(LeaseReply)> Callback) override;
-  void keepLease(std::uint64_t Lease,
-                 std::function<void(LeaseReply)> Callback) override;
+  void renewLease(std::uint64_t Lease,
+                  std::function<void(LeaseReply)> Callback) override;
   void endLease(std::uint64_t Lease) override;
 
   /// Expires the lease and removes its keys.
