--- a/Source/Control/Holder.cpp
+++ b/Source/Control/Holder.cpp
@@ -149,7 +149,7 @@
   Store.commit(std::move(Request),
                [this, NewLease](const TransactionReply &Reply) {
                  if (State != Acquiring || !Reply.Status.ok()) {
-                   Store.endLease(NewLease);
+                   Store.revokeLease(NewLease);
                  }
                  if (State != Acquiring) {
                    return;
@@ -227,7 +227,7 @@
   }
   JobJournal.stop();
   JobDispatcher.end();
-  Store.endLease(LeaseId);
+  Store.revokeLease(LeaseId);
   PendingEvents.clear();
   for (auto *Requests : {&PendingSubmits, &PendingCancels}) {
     for (const auto &[Job, Callback] : std::exchange(*Requests, {})) {
--- a/Source/Control/include/balsamlatch/Control/RecordStore.h
+++ b/Source/Control/include/balsamlatch/Control/RecordStore.h
@@ -120,7 +120,7 @@
                           std::function<void(LeaseReply)> Callback) = 0;
   virtual void renewLease(std::uint64_t Lease,
                           std::function<void(LeaseReply)> Callback) = 0;
-  virtual void endLease(std::uint64_t Lease) = 0;
+  virtual void revokeLease(std::uint64_t Lease) = 0;
 };
 
 } // namespace balsamlatch::control
--- a/Tests/Control/FakeStore.cpp
+++ b/Tests/Control/FakeStore.cpp
@@ -139,7 +139,7 @@
              [Callback = std::move(Callback), Reply] { Callback(Reply); });
 }
 
-void FakeStore::endLease(std::uint64_t Lease) {
+void FakeStore::revokeLease(std::uint64_t Lease) {
   if (!IsUnavailable) {
     expire(Lease);
   }
--- a/Tests/Control/FakeStore.h
+++ b/Tests/Control/FakeStore.h
@@ -28,7 +28,7 @@
                   std::function<void(LeaseReply)> Callback) override;
   void renewLease(std::uint64_t Lease,
                   std::function<void(LeaseReply)> Callback) override;
-  void endLease(std::uint64_t Lease) override;
+  void revokeLease(std::uint64_t Lease) override;
 
   /// Expires the lease and removes its keys.
   void expire(std::uint64_t Lease);
