--- a/Source/Control/include/balsamlatch/Control/Ports.h
+++ b/Source/Control/include/balsamlatch/Control/Ports.h
@@ -65,12 +65,12 @@
 /// host.
 class HostPort {
 public:
-  using Listed =
+  using ListCallback =
       std::function<void(absl::StatusOr<std::vector<dispatch::HostRecord>>)>;
   using Done = std::function<void(HostOutcome)>;
 
   virtual ~HostPort() = default;
-  virtual void list(Listed Callback) = 0;
+  virtual void list(ListCallback Callback) = 0;
   virtual void move(const HolderIdentity &Leader, const HostName &Host,
                     const PoolName &Pool, Done Callback) = 0;
   virtual void maintain(const HolderIdentity &Leader, const HostName &Host,
