--- a/Source/Control/HostController.cpp
+++ b/Source/Control/HostController.cpp
@@ -298,12 +298,12 @@
   const HolderIdentity Leader{
       LocalController.knownLeader() ? LocalController.knownLeader()->Name : "",
       LocalController.token()};
-  const HostPort::Done Callback = [this, Order,
-                                   CallTerm = Term](HostOutcome Outcome) {
-    if (CallTerm == Term) {
-      handleOrderReply(Order, Outcome);
-    }
-  };
+  const HostPort::ReplyCallback Callback =
+      [this, Order, CallTerm = Term](HostOutcome Outcome) {
+        if (CallTerm == Term) {
+          handleOrderReply(Order, Outcome);
+        }
+      };
   if (Order.Wave != 0) {
     Hosts.maintain(Leader, Order.Host, Order.Wave, Callback);
   } else {
--- a/Source/Control/PolicyRelay.cpp
+++ b/Source/Control/PolicyRelay.cpp
@@ -125,21 +125,23 @@
   return nullptr;
 }
 
-void PolicyRelay::ask(const dispatch::PermitQuery &Query, Done Callback) {
+void PolicyRelay::ask(const dispatch::PermitQuery &Query,
+                      ReplyCallback Callback) {
   QuerySlot *Slot = findFreeSlot();
   if (Slot == nullptr) {
     Callback(absl::ResourceExhaustedError("all policy query slots are in use"));
     return;
   }
   Slot->InUse = true;
-  const Done Completion = [this, Slot, Callback = std::move(Callback)](
-                              absl::StatusOr<dispatch::PermitReply> Reply) {
-    Slot->InUse = false;
-    if (!Reply.ok()) {
-      Slot->BackoffUntil = Time.now() + FailureBackoff;
-    }
-    Callback(std::move(Reply));
-  };
+  const ReplyCallback Completion =
+      [this, Slot, Callback = std::move(Callback)](
+          absl::StatusOr<dispatch::PermitReply> Reply) {
+        Slot->InUse = false;
+        if (!Reply.ok()) {
+          Slot->BackoffUntil = Time.now() + FailureBackoff;
+        }
+        Callback(std::move(Reply));
+      };
   if (Slot->Entry.Name.empty()) {
     LocalPolicies.ask(Query, Completion);
   } else {
@@ -149,7 +151,7 @@
 
 void PolicyRelay::queryEntry(QuerySlot &Slot,
                              const dispatch::PermitQuery &Query,
-                             Done Callback) {
+                             ReplyCallback Callback) {
   PeerClient.call(
       Slot.Entry.Ip, Slot.Entry.Port,
       {"POST",
--- a/Source/Control/include/balsamlatch/Control/PolicyRelay.h
+++ b/Source/Control/include/balsamlatch/Control/PolicyRelay.h
@@ -31,7 +31,7 @@
   void setOtherEntries(const std::vector<EntryRecord> &Entries);
   std::size_t slots() const override;
 
-  void ask(const dispatch::PermitQuery &Query, Done Callback) override;
+  void ask(const dispatch::PermitQuery &Query, ReplyCallback Callback) override;
   /// Handles a query that a leader on another entry has forwarded.
   void serve(const http::Exchange &Exchange);
 
@@ -45,7 +45,7 @@
 
   QuerySlot *findFreeSlot();
   void queryEntry(QuerySlot &Slot, const dispatch::PermitQuery &Query,
-                  Done Callback);
+                  ReplyCallback Callback);
 
   const Clock &Time;
   PolicyPort &LocalPolicies;
--- a/Source/Control/include/balsamlatch/Control/Ports.h
+++ b/Source/Control/include/balsamlatch/Control/Ports.h
@@ -16,27 +16,32 @@
 /// Sends orders to workers. Callbacks run once, on the caller's event loop.
 class WorkerPort {
 public:
-  using Done = std::function<void(dispatch::OrderOutcome)>;
+  using ReplyCallback = std::function<void(dispatch::OrderOutcome)>;
   using RenewCallback =
       std::function<void(dispatch::OrderOutcome, dispatch::RenewReport)>;
 
   virtual ~WorkerPort() = default;
   virtual void renew(const dispatch::RenewOrder &Order,
                      RenewCallback Callback) = 0;
-  virtual void start(const dispatch::StartOrder &Order, Done Callback) = 0;
-  virtual void stop(const dispatch::StopOrder &Order, Done Callback) = 0;
-  virtual void pace(const dispatch::PaceOrder &Order, Done Callback) = 0;
+  virtual void start(const dispatch::StartOrder &Order,
+                     ReplyCallback Callback) = 0;
+  virtual void stop(const dispatch::StopOrder &Order,
+                    ReplyCallback Callback) = 0;
+  virtual void pace(const dispatch::PaceOrder &Order,
+                    ReplyCallback Callback) = 0;
 };
 
 /// Queries the service that decides on placement policies.
 class PolicyPort {
 public:
-  using Done = std::function<void(absl::StatusOr<dispatch::PermitReply>)>;
+  using ReplyCallback =
+      std::function<void(absl::StatusOr<dispatch::PermitReply>)>;
 
   virtual ~PolicyPort() = default;
   /// Number of queries that can be in flight at a time.
   virtual std::size_t slots() const { return 1; }
-  virtual void ask(const dispatch::PermitQuery &Query, Done Callback) = 0;
+  virtual void ask(const dispatch::PermitQuery &Query,
+                   ReplyCallback Callback) = 0;
 };
 
 enum class HostOutcome {
@@ -67,14 +72,14 @@
 public:
   using ListCallback =
       std::function<void(absl::StatusOr<std::vector<dispatch::HostRecord>>)>;
-  using Done = std::function<void(HostOutcome)>;
+  using ReplyCallback = std::function<void(HostOutcome)>;
 
   virtual ~HostPort() = default;
   virtual void list(ListCallback Callback) = 0;
   virtual void move(const HolderIdentity &Leader, const HostName &Host,
-                    const PoolName &Pool, Done Callback) = 0;
+                    const PoolName &Pool, ReplyCallback Callback) = 0;
   virtual void maintain(const HolderIdentity &Leader, const HostName &Host,
-                        std::uint64_t Wave, Done Callback) = 0;
+                        std::uint64_t Wave, ReplyCallback Callback) = 0;
 };
 
 } // namespace balsamlatch::control
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -26,14 +26,14 @@
 class UnresponsiveWorkers final : public WorkerPort {
 public:
   void renew(const dispatch::RenewOrder &, RenewCallback) override {}
-  void start(const dispatch::StartOrder &, Done) override {}
-  void stop(const dispatch::StopOrder &, Done) override {}
-  void pace(const dispatch::PaceOrder &, Done) override {}
+  void start(const dispatch::StartOrder &, ReplyCallback) override {}
+  void stop(const dispatch::StopOrder &, ReplyCallback) override {}
+  void pace(const dispatch::PaceOrder &, ReplyCallback) override {}
 };
 
 class UnresponsivePolicies final : public PolicyPort {
 public:
-  void ask(const dispatch::PermitQuery &, Done) override {}
+  void ask(const dispatch::PermitQuery &, ReplyCallback) override {}
 };
 
 jobs::JobEvent acceptedEvent(const std::string &Id) {
@@ -410,7 +410,7 @@
   public:
     DelayedPolicies(EventLoop &CallbackLoop, std::string Name)
         : Loop(CallbackLoop), Ticket(std::move(Name)) {}
-    void ask(const dispatch::PermitQuery &, Done Callback) override {
+    void ask(const dispatch::PermitQuery &, ReplyCallback Callback) override {
       Loop.after(50ms, [this, Callback] {
         Callback(dispatch::PermitReply{{{"w", Ticket}}, 3s});
       });
