--- a/Source/Control/HostController.cpp
+++ b/Source/Control/HostController.cpp
@@ -82,7 +82,7 @@
 
 HostController::HostController(EventLoop &CallbackLoop, const Clock &TimeSource,
                                LogSink &Sink, RecordStore &Backend,
-                               HostPort &HostAdapter, Holder &Controller,
+                               HostPort &HostAdapter, JobController &Controller,
                                dispatch::HostSchedulerOptions Options,
                                WaveReportFormat ReportFormat)
     : Loop(CallbackLoop), Time(TimeSource), Log(Sink), Store(Backend),
--- a/Source/Control/Holder.cpp
+++ b/Source/Control/JobController.cpp
@@ -2,7 +2,7 @@
 /// Leader election: claims leadership, loads the journal, renews the lease and
 /// steps down.
 
-#include "balsamlatch/Control/Holder.h"
+#include "balsamlatch/Control/JobController.h"
 
 namespace balsamlatch::control {
 
@@ -16,9 +16,11 @@
 
 } // namespace
 
-Holder::Holder(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
-               RecordStore &Backend, WorkerPort &WorkerAdapter,
-               PolicyPort &PolicyAdapter, HolderOptions Options)
+JobController::JobController(EventLoop &CallbackLoop, const Clock &TimeSource,
+                             LogSink &Sink, RecordStore &Backend,
+                             WorkerPort &WorkerAdapter,
+                             PolicyPort &PolicyAdapter,
+                             JobControllerOptions Options)
     : Loop(CallbackLoop), Time(TimeSource), Log(Sink), Store(Backend),
       Workers(WorkerAdapter), Policies(PolicyAdapter),
       Settings(std::move(Options)),
@@ -29,11 +31,11 @@
       JobJournal(CallbackLoop, TimeSource, Backend, Sink),
       JobDispatcher(TimeSource, Settings.Dispatch, Sink) {}
 
-Holder::~Holder() = default;
+JobController::~JobController() = default;
 
-void Holder::start() { ElectionMirror.start(); }
+void JobController::start() { ElectionMirror.start(); }
 
-void Holder::handleElectionChange() {
+void JobController::handleElectionChange() {
   Registry.update(ElectionMirror.items());
   if (OnEntriesChanged) {
     OnEntriesChanged();
@@ -61,8 +63,8 @@
   }
 }
 
-void Holder::updateLeader(const EntryRecord &Record,
-                          std::uint64_t LeaderToken) {
+void JobController::updateLeader(const EntryRecord &Record,
+                                 std::uint64_t LeaderToken) {
   KnownLeader = Record;
   LatestToken = LeaderToken;
   if ((State == Leading || State == Loading) && LatestToken > Token) {
@@ -70,14 +72,15 @@
   }
 }
 
-bool Holder::wasWrittenByPreviousProcess(const StoredItem &LeaderItem) const {
+bool JobController::wasWrittenByPreviousProcess(
+    const StoredItem &LeaderItem) const {
   // The process that wrote the key no longer runs, so its lease needn't expire
   // first.
   return LeaderItem.Value == encodeEntry(Settings.Self) &&
          LeaderItem.Revision != Token;
 }
 
-void Holder::handleVacantLeadership() {
+void JobController::handleVacantLeadership() {
   if (State != Following || ElectionDelayed) {
     return;
   }
@@ -96,12 +99,12 @@
   });
 }
 
-LeaderView Holder::leaderView() const {
+LeaderView JobController::leaderView() const {
   return {KnownLeader, LatestToken,
           State == Following && ElectionMirror.isStoreReachable()};
 }
 
-void Holder::mergeLeaderView(const LeaderView &View) {
+void JobController::mergeLeaderView(const LeaderView &View) {
   if (!View.Leader || View.Token <= LatestToken) {
     return;
   }
@@ -110,13 +113,13 @@
   updateLeader(*View.Leader, View.Token);
 }
 
-void Holder::yieldLeadership() {
+void JobController::yieldLeadership() {
   if (State == Leading) {
     stepDown("a stronger entry can lead");
   }
 }
 
-void Holder::acquireLease() {
+void JobController::acquireLease() {
   State = Acquiring;
   Store.grantLease(Settings.LeaseDuration, [this](const LeaseReply &Reply) {
     if (State != Acquiring) {
@@ -141,8 +144,8 @@
   });
 }
 
-void Holder::claimLeadership(std::uint64_t NewLease,
-                             std::uint64_t ExpectedRevision) {
+void JobController::claimLeadership(std::uint64_t NewLease,
+                                    std::uint64_t ExpectedRevision) {
   Transaction Request;
   Request.Conditions = {{Settings.LeaderKey, ExpectedRevision}};
   Request.Writes = {{Settings.LeaderKey, encodeEntry(Settings.Self), NewLease}};
@@ -175,7 +178,7 @@
                });
 }
 
-void Holder::loadJournal() {
+void JobController::loadJournal() {
   State = Loading;
   Table = std::make_unique<jobs::JobTable>();
   JobJournal.load(*Table,
@@ -197,7 +200,7 @@
                   });
 }
 
-void Holder::beginTerm() {
+void JobController::beginTerm() {
   State = Leading;
   JobDispatcher.begin(token(), *Table);
   JobDispatcher.configure(Config);
@@ -213,7 +216,7 @@
   tick();
 }
 
-void Holder::stepDown(std::string_view Reason) {
+void JobController::stepDown(std::string_view Reason) {
   if (State != Leading && State != Loading) {
     return;
   }
@@ -240,18 +243,18 @@
   ElectionMirror.refresh();
 }
 
-void Holder::retire() {
+void JobController::retire() {
   if (State == Leading || State == Loading) {
     stepDown("this process is stopping");
   }
   State = Retired;
 }
 
-bool Holder::holdsLease() const {
+bool JobController::holdsLease() const {
   return State == Leading && Time.now() < LeaseExpiry;
 }
 
-void Holder::renewLease() {
+void JobController::renewLease() {
   const Instant SentAt = Time.now();
   Store.renewLease(LeaseId,
                    [this, SentAt, Term = TermNumber](const LeaseReply &Reply) {
@@ -266,7 +269,7 @@
   });
 }
 
-void Holder::handleRenewal(Instant SentAt, const LeaseReply &Reply) {
+void JobController::handleRenewal(Instant SentAt, const LeaseReply &Reply) {
   if (absl::IsNotFound(Reply.Status)) {
     stepDown("the lease has run out");
     return;
--- a/Source/Control/HolderRequests.cpp
+++ b/Source/Control/JobControllerRequests.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Serves requests about jobs while this entry leads.
 
-#include "balsamlatch/Control/Holder.h"
+#include "balsamlatch/Control/JobController.h"
 
 namespace balsamlatch::control {
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-void Holder::request(JobRequest Request, ReplyCallback Callback) {
+void JobController::request(JobRequest Request, ReplyCallback Callback) {
   if (State != Leading) {
     Callback({JobReply::NotHolder});
     return;
@@ -24,7 +24,8 @@
              Request);
 }
 
-void Holder::handle(const SubmitJob &Request, const ReplyCallback &Callback) {
+void JobController::handle(const SubmitJob &Request,
+                           const ReplyCallback &Callback) {
   if (Table->find(Request.Job) != nullptr) {
     Callback({JobReply::Done});
     return;
@@ -63,7 +64,8 @@
   appendEvents();
 }
 
-void Holder::handle(const CancelJob &Request, const ReplyCallback &Callback) {
+void JobController::handle(const CancelJob &Request,
+                           const ReplyCallback &Callback) {
   const jobs::Job *ExistingJob = Table->find(Request.Job);
   if (ExistingJob == nullptr && !PendingSubmits.contains(Request.Job)) {
     Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
@@ -80,7 +82,8 @@
   appendEvents();
 }
 
-void Holder::handle(const QueryJob &Request, const ReplyCallback &Callback) {
+void JobController::handle(const QueryJob &Request,
+                           const ReplyCallback &Callback) {
   const jobs::Job *ExistingJob = Table->find(Request.Job);
   if (ExistingJob != nullptr) {
     JobReply Reply{JobReply::Done};
@@ -92,7 +95,8 @@
   Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
 }
 
-void Holder::handle(const QueryQueue &Request, const ReplyCallback &Callback) {
+void JobController::handle(const QueryQueue &Request,
+                           const ReplyCallback &Callback) {
   if (!holdsLease()) {
     Callback({JobReply::NotHolder});
     return;
@@ -102,7 +106,7 @@
   Callback(Reply);
 }
 
-void Holder::completePendingRequests() {
+void JobController::completePendingRequests() {
   for (auto It = PendingSubmits.begin(); It != PendingSubmits.end();) {
     if (Table->find(It->first) == nullptr) {
       ++It;
@@ -124,14 +128,15 @@
   }
 }
 
-void Holder::configure(std::shared_ptr<const dispatch::Deployment> NewConfig) {
+void JobController::configure(
+    std::shared_ptr<const dispatch::Deployment> NewConfig) {
   Config = std::move(NewConfig);
   if (State == Leading) {
     JobDispatcher.configure(Config);
   }
 }
 
-void Holder::setWorkers(
+void JobController::setWorkers(
     std::map<std::string, dispatch::WorkerRecord> NewWorkers) {
   WorkerRecords = std::move(NewWorkers);
   if (State == Leading) {
--- a/Source/Control/HolderTicks.cpp
+++ b/Source/Control/JobControllerTicks.cpp
@@ -2,7 +2,7 @@
 /// The leader's periodic work: carries out the dispatcher's decisions, appends
 /// events to the journal and compacts it.
 
-#include "balsamlatch/Control/Holder.h"
+#include "balsamlatch/Control/JobController.h"
 
 namespace balsamlatch::control {
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-void Holder::tick() {
+void JobController::tick() {
   if (State != Leading) {
     return;
   }
@@ -47,7 +47,7 @@
   });
 }
 
-void Holder::executeDecisions() {
+void JobController::executeDecisions() {
   for (const dispatch::WorkerOrder &Order : JobDispatcher.takeOrders()) {
     sendOrder(Order);
   }
@@ -60,7 +60,7 @@
   }
 }
 
-void Holder::queryPolicy(const dispatch::PermitQuery &Query) {
+void JobController::queryPolicy(const dispatch::PermitQuery &Query) {
   Policies.ask(Query, [this, Query, SentAt = Time.now(), Term = TermNumber](
                           absl::StatusOr<dispatch::PermitReply> Reply) {
     if (Term != TermNumber) {
@@ -77,9 +77,9 @@
   });
 }
 
-void Holder::sendOrder(const dispatch::WorkerOrder &Order) {
+void JobController::sendOrder(const dispatch::WorkerOrder &Order) {
   struct Visitor {
-    Holder &Controller;
+    JobController &Controller;
     std::uint64_t Term;
 
     void operator()(const dispatch::RenewOrder &Renew) const {
@@ -122,7 +122,7 @@
   std::visit(Visitor{*this, TermNumber}, Order);
 }
 
-void Holder::appendEvents() {
+void JobController::appendEvents() {
   const Instant Now = Time.now();
   if (State != Leading || JobJournal.appendInFlight() || Now < NextAppendAt) {
     return;
@@ -145,7 +145,7 @@
                     });
 }
 
-void Holder::handleAppended(const std::vector<jobs::JobEvent> &Events) {
+void JobController::handleAppended(const std::vector<jobs::JobEvent> &Events) {
   if (Time.now() - JobJournal.lastSentAt() > MaxReplyAge) {
     stepDown("the store's answer is too old to act on");
     return;
@@ -161,7 +161,7 @@
   appendEvents();
 }
 
-void Holder::compactJournal() {
+void JobController::compactJournal() {
   JobJournal.truncateBefore(
       Table->firstRequiredSequence(JobJournal.nextNumber()));
   if (JobJournal.nextNumber() - JobJournal.oldestNumber() <
--- a/Source/Control/JobRouter.cpp
+++ b/Source/Control/JobRouter.cpp
@@ -30,7 +30,8 @@
 };
 
 JobRouter::JobRouter(EventLoop &CallbackLoop, const Clock &TimeSource,
-                     LogSink &Sink, Holder &Controller, http::Client &Client)
+                     LogSink &Sink, JobController &Controller,
+                     http::Client &Client)
     : Loop(CallbackLoop), Time(TimeSource), Log(Sink),
       LocalController(Controller), PeerClient(Client),
       Finder(CallbackLoop, TimeSource, Controller, Client) {}
--- a/Source/Control/LeaderFinder.cpp
+++ b/Source/Control/LeaderFinder.cpp
@@ -54,7 +54,7 @@
 }
 
 LeaderFinder::LeaderFinder(EventLoop &CallbackLoop, const Clock &TimeSource,
-                           Holder &Controller, http::Client &Client)
+                           JobController &Controller, http::Client &Client)
     : Loop(CallbackLoop), Time(TimeSource), LocalController(Controller),
       PeerClient(Client) {}
 
--- a/Source/Control/include/balsamlatch/Control/HostController.h
+++ b/Source/Control/include/balsamlatch/Control/HostController.h
@@ -5,7 +5,7 @@
 #ifndef BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
 #define BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
 
-#include "balsamlatch/Control/Holder.h"
+#include "balsamlatch/Control/JobController.h"
 #include "balsamlatch/Dispatch/HostScheduler.h"
 
 namespace balsamlatch::control {
@@ -26,7 +26,8 @@
 
   HostController(EventLoop &CallbackLoop, const Clock &TimeSource,
                  LogSink &Sink, RecordStore &Backend, HostPort &HostAdapter,
-                 Holder &Controller, dispatch::HostSchedulerOptions Options,
+                 JobController &Controller,
+                 dispatch::HostSchedulerOptions Options,
                  WaveReportFormat ReportFormat);
 
   /// Starts work at the beginning of a term of this process.
@@ -58,7 +59,7 @@
   LogSink &Log;
   RecordStore &Store;
   HostPort &Hosts;
-  Holder &LocalController;
+  JobController &LocalController;
   WaveReportFormat WaveReports;
   dispatch::HostScheduler Scheduler;
   std::shared_ptr<const dispatch::Deployment> Config;
--- a/Source/Control/include/balsamlatch/Control/Holder.h
+++ b/Source/Control/include/balsamlatch/Control/JobController.h
@@ -3,8 +3,8 @@
 /// holds a lease in the store, rebuilds the jobs from the journal, serves
 /// requests about jobs and carries out the dispatcher's decisions.
 
-#ifndef BALSAMLATCH_CONTROL_HOLDER_H
-#define BALSAMLATCH_CONTROL_HOLDER_H
+#ifndef BALSAMLATCH_CONTROL_JOBCONTROLLER_H
+#define BALSAMLATCH_CONTROL_JOBCONTROLLER_H
 
 #include "balsamlatch/Control/EntryRegistry.h"
 #include "balsamlatch/Control/JobService.h"
@@ -28,7 +28,7 @@
   auto operator<=>(const LeaderView &) const = default;
 };
 
-struct HolderOptions {
+struct JobControllerOptions {
   EntryRecord Self;
   /// ElectionPrefix is watched; it covers the leader's key and the
   /// registrations of entries under EntryPrefix.
@@ -44,12 +44,12 @@
   dispatch::DispatchOptions Dispatch;
 };
 
-class Holder final : public JobService {
+class JobController final : public JobService {
 public:
-  Holder(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
-         RecordStore &Backend, WorkerPort &WorkerAdapter,
-         PolicyPort &PolicyAdapter, HolderOptions Options);
-  ~Holder() override;
+  JobController(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
+                RecordStore &Backend, WorkerPort &WorkerAdapter,
+                PolicyPort &PolicyAdapter, JobControllerOptions Options);
+  ~JobController() override;
 
   void start();
   /// Gives up leadership and takes part in no further election.
@@ -121,7 +121,7 @@
   RecordStore &Store;
   WorkerPort &Workers;
   PolicyPort &Policies;
-  const HolderOptions Settings;
+  const JobControllerOptions Settings;
   PrefixMirror ElectionMirror;
   EntryRegistry Registry;
   Journal JobJournal;
@@ -156,4 +156,4 @@
 
 } // namespace balsamlatch::control
 
-#endif // BALSAMLATCH_CONTROL_HOLDER_H
+#endif // BALSAMLATCH_CONTROL_JOBCONTROLLER_H
--- a/Source/Control/include/balsamlatch/Control/JobRouter.h
+++ b/Source/Control/include/balsamlatch/Control/JobRouter.h
@@ -22,7 +22,7 @@
 class JobRouter {
 public:
   JobRouter(EventLoop &CallbackLoop, const Clock &TimeSource, LogSink &Sink,
-            Holder &Controller, http::Client &Client);
+            JobController &Controller, http::Client &Client);
 
   /// Starts to offer leadership periodically to an entry with more processor
   /// time, while this one leads.
@@ -52,7 +52,7 @@
   EventLoop &Loop;
   const Clock &Time;
   LogSink &Log;
-  Holder &LocalController;
+  JobController &LocalController;
   http::Client &PeerClient;
   LeaderFinder Finder;
   // When the first request since the leader's last reply failed.
--- a/Source/Control/include/balsamlatch/Control/LeaderFinder.h
+++ b/Source/Control/include/balsamlatch/Control/LeaderFinder.h
@@ -6,7 +6,7 @@
 #ifndef BALSAMLATCH_CONTROL_LEADERFINDER_H
 #define BALSAMLATCH_CONTROL_LEADERFINDER_H
 
-#include "balsamlatch/Control/Holder.h"
+#include "balsamlatch/Control/JobController.h"
 #include "balsamlatch/Http/Client.h"
 
 namespace balsamlatch::control {
@@ -20,7 +20,7 @@
 class LeaderFinder {
 public:
   LeaderFinder(EventLoop &CallbackLoop, const Clock &TimeSource,
-               Holder &Controller, http::Client &Client);
+               JobController &Controller, http::Client &Client);
 
   /// Starts to offer leadership periodically to an entry with more processor
   /// time, while this one leads.
@@ -36,7 +36,7 @@
 
   EventLoop &Loop;
   const Clock &Time;
-  Holder &LocalController;
+  JobController &LocalController;
   http::Client &PeerClient;
   Instant NextSearchAt{};
   // Index of the entry that was queried last, for a round robin. Taken modulo
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -5,7 +5,7 @@
 #define BOOST_TEST_MODULE Control
 #include "FakeStore.h"
 
-#include "balsamlatch/Control/Holder.h"
+#include "balsamlatch/Control/JobController.h"
 #include "balsamlatch/Control/JobRouter.h"
 #include "balsamlatch/Control/JobWire.h"
 #include "balsamlatch/Control/PolicyRelay.h"
@@ -111,19 +111,20 @@
     Config->Queues.front().Pool = PoolName("p");
   }
 
-  std::unique_ptr<Holder> startEntry(const std::string &Name,
-                                     unsigned CpuMilli = 0) {
-    HolderOptions Options;
+  std::unique_ptr<JobController> startEntry(const std::string &Name,
+                                            unsigned CpuMilli = 0) {
+    JobControllerOptions Options;
     Options.Self = {Name, "127.0.0.1", 1, CpuMilli};
     Options.MinAppendInterval = MinAppendInterval;
-    auto NewEntry = std::make_unique<Holder>(Loop, Time, Log, Store, Workers,
-                                             Policies, Options);
+    auto NewEntry = std::make_unique<JobController>(Loop, Time, Log, Store,
+                                                    Workers, Policies, Options);
     NewEntry->configure(Config);
     NewEntry->start();
     return NewEntry;
   }
 
-  std::optional<JobReply> sendRequest(Holder &Entry, JobRequest Request) {
+  std::optional<JobReply> sendRequest(JobController &Entry,
+                                      JobRequest Request) {
     auto FinalReply = std::make_shared<std::optional<JobReply>>();
     Entry.request(std::move(Request),
                   [FinalReply](const JobReply &Reply) { *FinalReply = Reply; });
