--- a/Source/Control/HostController.cpp
+++ b/Source/Control/HostController.cpp
@@ -295,7 +295,7 @@
              {"wave", Order.Wave},
              {"to", Order.DestinationPool.Text},
              {"worker", Order.WorkerId}});
-  const HolderIdentity Leader{
+  const LeaderIdentity Leader{
       LocalController.knownLeader() ? LocalController.knownLeader()->Name : "",
       LocalController.token()};
   const HostPort::ReplyCallback Callback =
--- a/Source/Control/include/balsamlatch/Control/Ports.h
+++ b/Source/Control/include/balsamlatch/Control/Ports.h
@@ -59,11 +59,11 @@
 };
 
 /// Identifies the leader in orders about hosts.
-struct HolderIdentity {
+struct LeaderIdentity {
   std::string Name;
   dispatch::FencingToken Token;
 
-  auto operator<=>(const HolderIdentity &) const = default;
+  auto operator<=>(const LeaderIdentity &) const = default;
 };
 
 /// Lists, moves and maintains hosts. An order ends everything that runs on the
@@ -76,9 +76,9 @@
 
   virtual ~HostPort() = default;
   virtual void list(ListCallback Callback) = 0;
-  virtual void move(const HolderIdentity &Leader, const HostName &Host,
+  virtual void move(const LeaderIdentity &Leader, const HostName &Host,
                     const PoolName &Pool, ReplyCallback Callback) = 0;
-  virtual void maintain(const HolderIdentity &Leader, const HostName &Host,
+  virtual void maintain(const LeaderIdentity &Leader, const HostName &Host,
                         std::uint64_t Wave, ReplyCallback Callback) = 0;
 };
 
