--- a/Source/Control/JobControllerRequests.cpp
+++ b/Source/Control/JobControllerRequests.cpp
@@ -16,7 +16,7 @@
 
 void JobController::request(JobRequest Request, ReplyCallback Callback) {
   if (State != Leading) {
-    Callback({JobReply::NotHolder});
+    Callback({JobReply::NotLeader});
     return;
   }
   std::visit([this, &Callback](
@@ -53,7 +53,7 @@
         Config == nullptr ? nullptr : Config->find(Request.Queue);
     if (JobQueue == nullptr) {
       // The requesting entry has a newer configuration than this one.
-      Callback({JobReply::NotHolder});
+      Callback({JobReply::NotLeader});
       return;
     }
     PendingEvents.emplace_back(jobs::JobAccepted{Request.Job, Request.Queue,
@@ -68,7 +68,7 @@
                            const ReplyCallback &Callback) {
   const jobs::Job *ExistingJob = Table->find(Request.Job);
   if (ExistingJob == nullptr && !PendingSubmits.contains(Request.Job)) {
-    Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
+    Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotLeader});
     return;
   }
   if (ExistingJob != nullptr && !ExistingJob->isOpen()) {
@@ -92,13 +92,13 @@
     return;
   }
   // Without a valid lease, a newer leader may have accepted the job.
-  Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotHolder});
+  Callback({holdsLease() ? JobReply::NoSuchJob : JobReply::NotLeader});
 }
 
 void JobController::handle(const QueryQueue &Request,
                            const ReplyCallback &Callback) {
   if (!holdsLease()) {
-    Callback({JobReply::NotHolder});
+    Callback({JobReply::NotLeader});
     return;
   }
   JobReply Reply{JobReply::Done};
--- a/Source/Control/JobRouter.cpp
+++ b/Source/Control/JobRouter.cpp
@@ -69,7 +69,7 @@
   const std::optional<EntryRecord> KnownLeader = LocalController.knownLeader();
   if (!KnownLeader) {
     Finder.findLeader();
-    handleReply(Pending, {JobReply::NotHolder});
+    handleReply(Pending, {JobReply::NotLeader});
     return;
   }
   const Duration Timeout =
@@ -83,7 +83,7 @@
                     }
                     Finder.findLeader();
                     handleReply(Pending, {absl::IsUnavailable(Outcome.Status)
-                                              ? JobReply::NotHolder
+                                              ? JobReply::NotLeader
                                               : JobReply::Unknown});
                   });
 }
@@ -91,7 +91,7 @@
 void JobRouter::handleReply(const std::shared_ptr<PendingRequest> &Pending,
                             const JobReply &Reply) {
   const bool IsFinal = Reply.Outcome != JobReply::Unknown &&
-                       Reply.Outcome != JobReply::NotHolder;
+                       Reply.Outcome != JobReply::NotLeader;
   if (IsFinal) {
     FailingSince.reset();
     Pending->Callback(Reply);
@@ -108,7 +108,7 @@
                                : ""}});
     }
     Pending->Callback({Pending->MayHaveTakenEffect ? JobReply::Unknown
-                                                   : JobReply::NotHolder});
+                                                   : JobReply::NotLeader});
     return;
   }
   Loop.after(RetryDelay, [this, Pending] { sendAttempt(Pending); });
--- a/Source/Control/include/balsamlatch/Control/JobRouter.h
+++ b/Source/Control/include/balsamlatch/Control/JobRouter.h
@@ -29,7 +29,7 @@
   void start();
 
   /// Retries until a final reply or the deadline that applies, then calls
-  /// \p Callback. The outcome is NotHolder if the request certainly had no
+  /// \p Callback. The outcome is NotLeader if the request certainly had no
   /// effect because no leader was reached, and Unknown if it may have taken
   /// effect.
   void request(JobRequest Request, RequestDeadlines Deadlines,
--- a/Source/Control/include/balsamlatch/Control/JobService.h
+++ b/Source/Control/include/balsamlatch/Control/JobService.h
@@ -52,7 +52,7 @@
     /// submit again.
     Refused,
     /// This process doesn't lead; the request had no effect.
-    NotHolder,
+    NotLeader,
     /// No reply; the request may have taken effect.
     Unknown,
   };
--- a/Tests/Control/ControlTest.cpp
+++ b/Tests/Control/ControlTest.cpp
@@ -202,7 +202,7 @@
   BOOST_TEST((sendRequest(*SecondEntry, QueryJob{jobs::JobId("b")})->Outcome ==
               JobReply::NoSuchJob));
   BOOST_TEST((sendRequest(*FirstEntry, submitJob("c"))->Outcome ==
-              JobReply::NotHolder));
+              JobReply::NotLeader));
 }
 
 BOOST_FIXTURE_TEST_CASE(ALeaderWithAnOverwrittenKeyAcceptsNoJobs,
@@ -213,7 +213,7 @@
   const std::optional<JobReply> Reply =
       sendRequest(*FirstEntry, submitJob("a"));
   BOOST_TEST((Reply->Outcome == JobReply::Unknown ||
-              Reply->Outcome == JobReply::NotHolder));
+              Reply->Outcome == JobReply::NotLeader));
   BOOST_TEST(runUntil([&] { return !FirstEntry->isLeading(); }));
   for (const auto &[Key, Item] : Store.Items) {
     BOOST_TEST(!Key.starts_with("journal/"));
@@ -262,7 +262,7 @@
   Router.request(QueryJob{jobs::JobId("a")}, {Deadline, Deadline},
                  [&](const JobReply &Reply) { FinalReply = Reply; });
   BOOST_TEST(runUntil([&] { return FinalReply.has_value(); }));
-  BOOST_TEST((FinalReply->Outcome == JobReply::NotHolder));
+  BOOST_TEST((FinalReply->Outcome == JobReply::NotLeader));
   BOOST_TEST(Router.hasFailedFor(0ms));
   BOOST_TEST(!Router.hasFailedFor(1s));
   Store.IsUnavailable = false;
