--- a/Tests/Dispatch/DispatcherTest.cpp
+++ b/Tests/Dispatch/DispatcherTest.cpp
@@ -107,7 +107,7 @@
   BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
-BOOST_AUTO_TEST_CASE(ALaterHolderAdoptsRunningTasks) {
+BOOST_AUTO_TEST_CASE(ALaterLeaderAdoptsRunningTasks) {
   Simulation Sim(2);
   Sim.submit("a", longRunningJob(2));
   Sim.submit("b", simpleJob(3));
@@ -120,7 +120,7 @@
   BOOST_TEST((Sim.job("b").Record.State == jobs::JobState::Completed));
 }
 
-BOOST_AUTO_TEST_CASE(ALaterHolderWaitsForWorkersThatItCantReach) {
+BOOST_AUTO_TEST_CASE(ALaterLeaderWaitsForWorkersThatItCantReach) {
   Simulation Sim(2);
   Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
@@ -197,7 +197,7 @@
   BOOST_TEST(joinLines(Sim.violations()) == "");
 }
 
-BOOST_AUTO_TEST_CASE(ALaterHolderClosesAJobThatAnEarlierOneLeftOpen) {
+BOOST_AUTO_TEST_CASE(ALaterLeaderClosesAJobThatAnEarlierOneLeftOpen) {
   Simulation Sim(1);
   for (FakeWorker &Worker : Sim.Workers) {
     Worker.FailsAll = true;
@@ -216,7 +216,7 @@
   BOOST_TEST(Sim.countStarts("a") == 3);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyOwnLeasesCountOnceAWorkerKnowsTheHolder) {
+BOOST_AUTO_TEST_CASE(OnlyOwnLeasesCountOnceAWorkerKnowsTheLeader) {
   Simulation Sim(2);
   Sim.submit("a", longRunningJob(1));
   Sim.run(500ms);
@@ -508,7 +508,7 @@
   BOOST_TEST((Sim.longestOver(10s) < 4s));
 }
 
-BOOST_AUTO_TEST_CASE(ALaterHolderPacesBestEffortTasksAnew) {
+BOOST_AUTO_TEST_CASE(ALaterLeaderPacesBestEffortTasksAnew) {
   BestEffortSimulation Sim;
   Sim.run(10s);
   Sim.startNewTerm();
--- a/Tests/Dispatch/HostSchedulerTest.cpp
+++ b/Tests/Dispatch/HostSchedulerTest.cpp
@@ -100,7 +100,7 @@
   BOOST_TEST(Fleet.decide().empty());
 }
 
-BOOST_AUTO_TEST_CASE(AHostWithARecentOrderOfAnEarlierHolderWaits) {
+BOOST_AUTO_TEST_CASE(AHostWithARecentOrderOfAnEarlierLeaderWaits) {
   FleetFixture Fleet(2, false);
   Fleet.Scheduler.setRecentOrders({Fleet.Hosts[0].Name});
   Fleet.publishHosts();
