--- a/Source/Control/include/balsamlatch/Control/HostController.h
+++ b/Source/Control/include/balsamlatch/Control/HostController.h
@@ -1,6 +1,6 @@
 /// \file
 /// Moves and maintains hosts while this process leads: lists the hosts, sends
-/// the host keeper's orders, and reports the status of maintenance waves.
+/// the host scheduler's orders, and reports the status of maintenance waves.
 
 #ifndef BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
 #define BALSAMLATCH_CONTROL_HOSTCONTROLLER_H
--- a/Tests/Dispatch/HostSchedulerTest.cpp
+++ b/Tests/Dispatch/HostSchedulerTest.cpp
@@ -28,8 +28,8 @@
   return Spec;
 }
 
-/// A simulation with a host for each worker, and a host keeper at the start of
-/// its term.
+/// A simulation with a host for each worker, and a host scheduler at the start
+/// of its term.
 struct FleetFixture {
   explicit FleetFixture(unsigned Count, bool EarlierOrdersKnown = true)
       : Sim(Count), Scheduler(Sim.Time, HostSchedulerOptions(), Sim.Log) {
