--- a/Tests/Dispatch/Simulation.cpp
+++ b/Tests/Dispatch/Simulation.cpp
@@ -68,8 +68,8 @@
                      : static_cast<unsigned>(100 * (Now - Run.StartedAt) /
                                              (RunDuration + Duration(1))));
     unsigned TotalPace = 0;
-    for (const auto &[BestEffort, Pace] : Paces) {
-      TotalPace += Runs.contains(BestEffort) ? Pace : 0;
+    for (const auto &[BestEffortTask, Pace] : Paces) {
+      TotalPace += Runs.contains(BestEffortTask) ? Pace : 0;
     }
     const std::int64_t Gauge =
         TailLatency && !Paces.contains(Task) ? TailLatency(TotalPace) : 0;
