--- /dev/null
+++ b/Tests/Jobs/JournalCodecTest.cpp
@@ -0,0 +1,233 @@
+/// \file
+/// Tests that the journal codec reads and writes the text of an earlier
+/// version. The platform stores the text, and later versions read it, so it
+/// must not change. A round trip alone doesn't detect a reordered enum, a
+/// changed flag bit or two exchanged fields: the encoder and the decoder change
+/// together, and stored records get another meaning.
+
+#define BOOST_TEST_MODULE Jobs
+#include <boost/test/unit_test.hpp>
+
+#include "balsamlatch/Jobs/JournalCodec.h"
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+using namespace balsamlatch;
+using namespace balsamlatch::jobs;
+using namespace std::chrono_literals;
+
+namespace {
+
+/// Written by encodeEvents() of an earlier version.
+constexpr std::string_view StoredEvents =
+    R"([["a","j","q","p",6000000,["{\"x\":1}",)"
+    R"([[2,500,64,1,900000,[],"a","r1",1,0,0,"img",1],)"
+    R"([3,250,32,0,1500000,[0],"","",0,2,40000,"",62]],)"
+    R"(3,5000000,2000000]],)"
+    R"(["p","j",1,2,3,4,"w",5],)"
+    R"(["e","j",1,2,3,4,0,"c"],)"
+    R"(["e","j",1,2,3,5,1,"c"],)"
+    R"(["e","j",1,2,3,6,2,"c"],)"
+    R"(["e","j",1,2,3,7,3,"c"],)"
+    R"(["e","j",1,2,3,8,4,"c"],)"
+    R"(["e","j",1,2,3,9,5,"c"],)"
+    R"(["c","j",1,2,3,4,"d"],)"
+    R"(["z","j",0,7000000],)"
+    R"(["z","j",1,7000000],)"
+    R"(["z","j",2,7000000],)"
+    R"(["z","j",3,7000000],)"
+    R"(["z","j",4,7000000],)"
+    R"(["f","j"],)"
+    R"(["s",["a","j","q","p",6000000,["{\"x\":1}",)"
+    R"([[2,500,64,1,900000,[],"a","r1",1,0,0,"img",1],)"
+    R"([3,250,32,0,1500000,[0],"","",0,2,40000,"",62]],)"
+    R"(3,5000000,2000000]],1,9000000,true,)"
+    R"([[1,[[[1,4,1,3,"w",5,"c"],[2,2,0,0,"",0,""]],)"
+    R"([[0,0,0,0,"",0,""]]]]]]])";
+
+/// Written by encodeSpec() of an earlier version.
+constexpr std::string_view StoredSpec =
+    R"(["{\"x\":1}",)"
+    R"([[2,500,64,1,900000,[],"a","r1",1,0,0,"img",1],)"
+    R"([3,250,32,0,1500000,[0],"","",0,2,40000,"",62]],)"
+    R"(3,5000000,2000000])";
+
+/// Written by encodeSpec() of an earlier version. Each step has one flag, so
+/// that no two flags can be exchanged. StoredSpec doesn't tell Gpus and
+/// MaxPerWorker apart; the first step here does.
+constexpr std::string_view StoredFlagSpec =
+    R"(["t",)"
+    R"([[1,0,0,3,0,[],"","",7,0,0,"",1],)"
+    R"([1,0,0,0,0,[],"","",0,0,0,"",2],)"
+    R"([1,0,0,0,0,[],"","",0,0,0,"",4],)"
+    R"([1,0,0,0,0,[],"","",0,0,0,"",8],)"
+    R"([1,0,0,0,0,[],"","",0,0,0,"",16],)"
+    R"([1,0,0,0,0,[],"","",0,0,0,"",32]],)"
+    R"(0,0,0])";
+
+JobSpec expectedSpec() {
+  const StepSpec First{
+      .Count = 2,
+      .RequestedResources = {.CpuMilli = 500, .MemoryMb = 64, .Gpus = 1},
+      .EstimatedRunTime = 900ms,
+      .PrerequisiteSteps = {},
+      .RequiredLabel = "a",
+      .PreferredRack = "r1",
+      .MaxPerWorker = 1,
+      .MaxUnavailable = 0,
+      .TailObjective = 0ms,
+      .Image = "img",
+      .Checkpoints = true,
+      .Gang = false,
+      .SameRack = false,
+      .Speculative = false,
+      .LongRunning = false,
+      .BestEffort = false};
+  const StepSpec Second{
+      .Count = 3,
+      .RequestedResources = {.CpuMilli = 250, .MemoryMb = 32, .Gpus = 0},
+      .EstimatedRunTime = 1500ms,
+      .PrerequisiteSteps = {0},
+      .RequiredLabel = "",
+      .PreferredRack = "",
+      .MaxPerWorker = 0,
+      .MaxUnavailable = 2,
+      .TailObjective = 40ms,
+      .Image = "",
+      .Checkpoints = false,
+      .Gang = true,
+      .SameRack = true,
+      .Speculative = true,
+      .LongRunning = true,
+      .BestEffort = true};
+  return {.Text = R"({"x":1})",
+          .Steps = {First, Second},
+          .RunSchedule = {.Repeats = 3, .First = WallTime(5s), .Interval = 2s}};
+}
+
+JobSpec expectedFlagSpec() {
+  const StepSpec Plain{
+      .Count = 1,
+      .RequestedResources = {.CpuMilli = 0, .MemoryMb = 0, .Gpus = 0},
+      .EstimatedRunTime = 0ms,
+      .PrerequisiteSteps = {},
+      .RequiredLabel = "",
+      .PreferredRack = "",
+      .MaxPerWorker = 0,
+      .MaxUnavailable = 0,
+      .TailObjective = 0ms,
+      .Image = "",
+      .Checkpoints = false,
+      .Gang = false,
+      .SameRack = false,
+      .Speculative = false,
+      .LongRunning = false,
+      .BestEffort = false};
+  JobSpec Spec{
+      .Text = "t",
+      .Steps = std::vector<StepSpec>(6, Plain),
+      .RunSchedule = {.Repeats = 0, .First = WallTime(0s), .Interval = 0s}};
+  Spec.Steps[0].RequestedResources.Gpus = 3;
+  Spec.Steps[0].MaxPerWorker = 7;
+  Spec.Steps[0].Checkpoints = true;
+  Spec.Steps[1].Gang = true;
+  Spec.Steps[2].SameRack = true;
+  Spec.Steps[3].Speculative = true;
+  Spec.Steps[4].LongRunning = true;
+  Spec.Steps[5].BestEffort = true;
+  return Spec;
+}
+
+std::vector<JobEvent> expectedEvents() {
+  const JobId Job("j");
+  const TaskRef Task{.Job = Job, .Occurrence = 1, .Step = 2, .Index = 3};
+  const JobAccepted Accepted{.Job = Job,
+                             .Queue = QueueName("q"),
+                             .Pool = PoolName("p"),
+                             .Spec = expectedSpec(),
+                             .AcceptedAt = WallTime(6s)};
+  const TaskRecord PlacedTask{.Phase = TaskPhase::Placed,
+                              .Run = 4,
+                              .Failures = 1,
+                              .LastFailedRun = 3,
+                              .Worker = {.Id = "w", .Incarnation = 5},
+                              .Checkpoint = "c"};
+  const TaskRecord DoneTask{.Phase = TaskPhase::Done,
+                            .Run = 2,
+                            .Failures = 0,
+                            .LastFailedRun = 0,
+                            .Worker = {.Id = "", .Incarnation = 0},
+                            .Checkpoint = ""};
+  const TaskRecord WaitingTask{.Phase = TaskPhase::Waiting,
+                               .Run = 0,
+                               .Failures = 0,
+                               .LastFailedRun = 0,
+                               .Worker = {.Id = "", .Incarnation = 0},
+                               .Checkpoint = ""};
+  const JobSnapshot Snapshot{
+      .Accepted = Accepted,
+      .State = JobState::Running,
+      .ClosedAt = WallTime(9s),
+      .EverPlaced = true,
+      .Occurrences = {{1U, {{PlacedTask, DoneTask}, {WaitingTask}}}}};
+  return {Accepted,
+          TaskPlaced{Task, 4, {.Id = "w", .Incarnation = 5}},
+          TaskEnded{Task, 4, RunOutcome::Done, "c"},
+          TaskEnded{Task, 5, RunOutcome::Failed, "c"},
+          TaskEnded{Task, 6, RunOutcome::Stopped, "c"},
+          TaskEnded{Task, 7, RunOutcome::Lost, "c"},
+          TaskEnded{Task, 8, RunOutcome::GangAborted, "c"},
+          TaskEnded{Task, 9, RunOutcome::Refused, "c"},
+          CheckpointSaved{Task, 4, "d"},
+          JobClosed{Job, JobState::Queued, WallTime(7s)},
+          JobClosed{Job, JobState::Running, WallTime(7s)},
+          JobClosed{Job, JobState::Completed, WallTime(7s)},
+          JobClosed{Job, JobState::Failed, WallTime(7s)},
+          JobClosed{Job, JobState::Cancelled, WallTime(7s)},
+          JobRemoved{Job},
+          Snapshot};
+}
+
+} // namespace
+
+BOOST_AUTO_TEST_CASE(StoredEventsAreDecoded) {
+  const auto Decoded = decodeEvents(StoredEvents);
+  BOOST_REQUIRE(Decoded.ok());
+  const std::vector<JobEvent> Expected = expectedEvents();
+  BOOST_REQUIRE(Decoded->size() == Expected.size());
+  for (std::size_t Index = 0; Index < Expected.size(); ++Index) {
+    BOOST_TEST(((*Decoded)[Index] == Expected[Index]), "event " << Index);
+  }
+}
+
+BOOST_AUTO_TEST_CASE(EventsAreEncodedAsStored) {
+  BOOST_TEST(encodeEvents(expectedEvents()) == StoredEvents);
+}
+
+BOOST_AUTO_TEST_CASE(StoredSpecIsDecoded) {
+  const auto Decoded = decodeSpec(StoredSpec);
+  BOOST_REQUIRE(Decoded.ok());
+  BOOST_TEST((*Decoded == expectedSpec()));
+}
+
+BOOST_AUTO_TEST_CASE(SpecIsEncodedAsStored) {
+  BOOST_TEST(encodeSpec(expectedSpec()) == StoredSpec);
+}
+
+BOOST_AUTO_TEST_CASE(EachStoredStepFlagIsDecoded) {
+  const auto Decoded = decodeSpec(StoredFlagSpec);
+  BOOST_REQUIRE(Decoded.ok());
+  const JobSpec Expected = expectedFlagSpec();
+  BOOST_REQUIRE(Decoded->Steps.size() == Expected.Steps.size());
+  for (std::size_t Index = 0; Index < Expected.Steps.size(); ++Index) {
+    BOOST_TEST((Decoded->Steps[Index] == Expected.Steps[Index]),
+               "step " << Index);
+  }
+  BOOST_TEST((*Decoded == Expected));
+}
+
+BOOST_AUTO_TEST_CASE(EachStepFlagIsEncodedAsStored) {
+  BOOST_TEST(encodeSpec(expectedFlagSpec()) == StoredFlagSpec);
+}
