--- a/Source/Daemon/CallerMessages.cpp
+++ b/Source/Daemon/CallerMessages.cpp
@@ -59,7 +59,7 @@
 }
 
 http::Response malformed(std::string_view Message) {
-  return refuse(400, "malformed", Message);
+  return makeRejection(400, "malformed", Message);
 }
 
 unsigned statusOf(const placement::FinishRequest &End) {
@@ -101,14 +101,14 @@
 } // namespace
 
 std::variant<placement::Request, http::Response>
-readCall(const http::Request &Message) {
+parseRequest(const http::Request &Message) {
   const std::string_view Path = Message.path();
   if (!Path.starts_with(JobsPath) || !isName(Path.substr(JobsPath.size()))) {
-    return refuse(404, "unknown-path", "call POST /v1/jobs/<job>");
+    return makeRejection(404, "unknown-path", "call POST /v1/jobs/<job>");
   }
   if (Message.Method != "POST") {
     http::Response Refusal =
-        refuse(405, "unknown-method", "call POST /v1/jobs/<job>");
+        makeRejection(405, "unknown-method", "call POST /v1/jobs/<job>");
     Refusal.Headers["allow"] = std::string("POST");
     return Refusal;
   }
@@ -145,7 +145,8 @@
   return Asked;
 }
 
-http::Response wordEnd(const placement::FinishRequest &End, std::string Body) {
+http::Response makeResponse(const placement::FinishRequest &End,
+                            std::string Body) {
   const char *Outcome = placement::outcomeCode(End.End);
   const char *Reason = placement::reasonCode(End.Why);
   if (End.End != placement::Outcome::Answered) {
@@ -167,8 +168,8 @@
   return Answer;
 }
 
-http::Response refuse(unsigned Status, std::string_view Reason,
-                      std::string_view Message) {
+http::Response makeRejection(unsigned Status, std::string_view Reason,
+                             std::string_view Message) {
   http::Response Answer =
       http::jsonResponse(Status, endBody({}, "not-run", Reason, Message));
   Answer.Headers["balsamlatch-outcome"] = "not-run";
--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -1,22 +1,24 @@
 /// \file
-/// Puts the parts of the daemon together and takes them down in order.
+/// Connects the components of the daemon and implements startup and graceful
+/// shutdown.
 ///
-/// Which thread may wait for which: fleet, control and store client wait for
-/// decisions, decisions wait for the network thread, and the network thread
-/// waits for none. So no two wait for each other.
+/// A thread that pushes to a full queue blocks until there is room. The fleet,
+/// control and store threads may block on the decision thread, the decision
+/// thread may block on the network thread, and the network thread never blocks.
+/// The order is acyclic, so the threads can't deadlock.
 
 #include "balsamlatch/Daemon/Daemon.h"
 
 #include "balsamlatch/Base/EventLoop.h"
-#include "balsamlatch/Daemon/Board.h"
-#include "balsamlatch/Daemon/CallerFront.h"
-#include "balsamlatch/Daemon/ClaimLink.h"
-#include "balsamlatch/Daemon/DecisionMemory.h"
+#include "balsamlatch/Daemon/CallerServer.h"
+#include "balsamlatch/Daemon/ClaimService.h"
+#include "balsamlatch/Daemon/DaemonStatus.h"
+#include "balsamlatch/Daemon/DecisionHistory.h"
 #include "balsamlatch/Daemon/DecisionThread.h"
 #include "balsamlatch/Daemon/FleetThread.h"
-#include "balsamlatch/Daemon/OperatorFront.h"
-#include "balsamlatch/Daemon/PeerLink.h"
-#include "balsamlatch/Daemon/StoreLink.h"
+#include "balsamlatch/Daemon/OperatorServer.h"
+#include "balsamlatch/Daemon/PeerService.h"
+#include "balsamlatch/Daemon/PlatformClients.h"
 #include "balsamlatch/Platform/HttpHostPlatform.h"
 #include "balsamlatch/Platform/HttpStore.h"
 #include "balsamlatch/Platform/HttpWorkerClient.h"
@@ -31,31 +33,33 @@
 
 namespace {
 
-constexpr std::size_t BatchesToNetwork = 4096;
-constexpr std::size_t MessagesToControl = 8192;
-constexpr Duration ReadyPeriod = std::chrono::milliseconds(100);
-/// How often a stopping daemon looks whether its requests have ended.
-constexpr Duration StopPoll = std::chrono::milliseconds(10);
-/// Time for the last messages to peers to leave.
-constexpr Duration LeaveWait = std::chrono::milliseconds(200);
+constexpr std::size_t NetworkMailboxCapacity = 4096;
+constexpr std::size_t PeerMailboxCapacity = 8192;
+constexpr Duration ReadinessPeriod = std::chrono::milliseconds(100);
+/// Interval at which a stopping daemon checks for open requests.
+constexpr Duration DrainPollPeriod = std::chrono::milliseconds(10);
+/// Time to send the last messages to peers.
+constexpr Duration LeaveDelay = std::chrono::milliseconds(200);
 
-/// Differs at each start, and rises.
+/// Returns a number that grows with each start of the process.
 std::uint64_t incarnationAt(WallTime Time) {
   return static_cast<std::uint64_t>(Time.time_since_epoch().count());
 }
 
-/// The settings' check has made sure that there are two owners with keys.
-AdoptionOptions adoptionOptions(const Settings &Values) {
-  const auto KeyOf = [](const std::string &Digits) {
-    return parseHex<PublicKey>(Digits).value_or(PublicKey());
+/// Requires settings that passed validation: exactly two owners with valid
+/// keys.
+AdoptionOptions adoptionOptions(const Settings &Config) {
+  const auto ParseKey = [](const std::string &HexDigits) {
+    return parseHex<PublicKey>(HexDigits).value_or(PublicKey());
   };
   AdoptionOptions Options;
-  Options.Trusted = ownerKeys(KeyOf(Values.GenesisOwners.begin()->second),
-                              KeyOf(Values.GenesisOwners.rbegin()->second));
+  Options.Trusted = ownerKeys(ParseKey(Config.GenesisOwners.begin()->second),
+                              ParseKey(Config.GenesisOwners.rbegin()->second));
   return Options;
 }
 
-/// A worker has 64 connections for all entries: kept ones go soon.
+/// A worker accepts 64 connections from all entries together, so idle
+/// connections are closed early.
 http::ClientOptions workerClientOptions() {
   http::ClientOptions Options;
   Options.MaxConnectionsPerAddress = 10;
@@ -63,244 +67,258 @@
   return Options;
 }
 
-placement::EngineOptions engineOptions(const Settings &Values,
+placement::EngineOptions engineOptions(const Settings &Config,
                                        std::uint64_t Incarnation) {
   placement::EngineOptions Options;
-  Options.Self = Values.Entry;
-  Options.DataCentre = Values.DataCentre;
+  Options.Self = Config.Entry;
+  Options.DataCentre = Config.DataCentre;
   Options.Seed = Incarnation;
-  Options.MaxQueuedPerPool = Values.Bounds.QueuedPerPool;
+  Options.MaxQueuedPerPool = Config.ResourceLimits.QueuedPerPool;
   return Options;
 }
 
-fleet::ControllerOptions controllerOptions(const Settings &Values,
+fleet::ControllerOptions controllerOptions(const Settings &Config,
                                            std::uint64_t Incarnation) {
   fleet::ControllerOptions Options;
-  Options.Self = Values.Entry;
-  Options.Region = Values.Region;
+  Options.Self = Config.Entry;
+  Options.Region = Config.Region;
   Options.Seed = Incarnation;
   return Options;
 }
 
-PeerLink::Options peerOptions(const DaemonOptions &Options,
-                              std::uint64_t Incarnation) {
-  PeerLink::Options Wanted;
-  Wanted.Entry = Options.Values.Entry;
-  Wanted.DataCentre = Options.Values.DataCentre;
-  Wanted.Incarnation = Incarnation;
-  Wanted.At = Options.Values.Peers;
-  Wanted.Secret = Options.PeerSecret;
-  Wanted.Known = Options.Values.KnownPeers;
-  Wanted.RulesKey = std::string(HeadKey);
-  Wanted.LedgerKey = fleet::ledgerKey(Options.Values.Region);
-  return Wanted;
+PeerService::Options peerOptions(const DaemonOptions &Options,
+                                 std::uint64_t Incarnation) {
+  PeerService::Options Result;
+  Result.Entry = Options.Config.Entry;
+  Result.DataCentre = Options.Config.DataCentre;
+  Result.Incarnation = Incarnation;
+  Result.ListenAddress = Options.Config.PeerAddress;
+  Result.Secret = Options.PeerSecret;
+  Result.SeedPeers = Options.Config.SeedPeers;
+  Result.RulesKey = std::string(HeadKey);
+  Result.LedgerKey = fleet::ledgerKey(Options.Config.Region);
+  return Result;
 }
 
 } // namespace
 
 class Daemon::Impl {
 public:
-  Impl(DaemonOptions Options, const Clock &Time, LogSink &Log);
+  Impl(DaemonOptions Options, const Clock &Time, LogSink &LogOutput);
   ~Impl() { stopThreads(); }
 
   absl::Status start();
   void requestStop();
   bool wait();
 
-  const CallerFront &callers() const { return Callers; }
-  const PeerLink &peers() const { return Peers; }
-  const OperatorFront &operators() const { return Operators; }
-  bool ready() const { return Shown.Ready; }
+  const CallerServer &callerServer() const { return CallerEndpoint; }
+  const PeerService &peerService() const { return PeerEndpoint; }
+  const OperatorServer &operatorServer() const { return OperatorEndpoint; }
+  bool isReady() const { return Status.IsReady; }
 
 private:
-  DecisionOutlets decisionOutlets();
-  FleetOutlets fleetOutlets();
-  PeerOutlets peerOutlets();
-  RingStandings ringStandings() const;
+  DecisionCallbacks decisionCallbacks();
+  FleetCallbacks fleetCallbacks();
+  PeerCallbacks peerCallbacks();
+  RingStatuses ringStatuses() const;
   void connect();
-  void updateReady();
-  void inForce(DocumentPtr Document);
-  void askWorker(const HostName &Host, const Address &At);
-  void candidate(membership::Document Document);
-  void listed(HostListing Listing);
+  void updateReadiness();
+  void publishDocument(DocumentPtr Document);
+  void requestWorkerReport(const HostName &Host, const Address &WorkerAddress);
+  void handleReceivedDocument(membership::Document Document);
+  void handleHostListing(HostListing Listing);
   bool drain();
   void stopThreads();
 
   const DaemonOptions Options;
   LogSink &Sink;
   const std::uint64_t Incarnation;
-  Board Shown;
-  DecisionMemory Memory;
+  DaemonStatus Status;
+  DecisionHistory History;
 
   EventLoop Network;
   EventLoop StoreLoop;
   EventLoop Control;
 
-  http::Client StoreCaller;
-  http::Client WorkerCaller;
+  http::Client StoreHttpClient;
+  http::Client WorkerHttpClient;
   HttpStore Backend;
   HttpHostPlatform Platform;
   HttpWorkerClient Workers;
-  CountedStore Counted;
+  LimitedStore PlatformStore;
 
-  Mailbox<NetworkBatch> ToNetwork;
-  Mailbox<placement::SendSlotMessage> ToPeers;
-  CallerFront Callers;
+  Mailbox<NetworkBatch> NetworkMailbox;
+  Mailbox<placement::SendSlotMessage> PeerMailbox;
+  CallerServer CallerEndpoint;
   DecisionThread Decisions;
-  ClaimLink Claims;
+  ClaimService Claims;
   FleetThread Fleet;
-  PeerLink Peers;
-  OperatorFront Operators;
-  ListingPoll Listings;
+  PeerService PeerEndpoint;
+  OperatorServer OperatorEndpoint;
+  HostListPoller HostPoller;
 
-  std::mutex StopLock;
-  std::condition_variable StopAsked;
-  bool Stop = false;
+  std::mutex StopMutex;
+  std::condition_variable StopCondition;
+  bool IsStopRequested = false;
 };
 
-Daemon::Impl::Impl(DaemonOptions Wanted, const Clock &Time, LogSink &Log)
-    : Options(std::move(Wanted)), Sink(Log),
+Daemon::Impl::Impl(DaemonOptions InitialOptions, const Clock &Time,
+                   LogSink &LogOutput)
+    : Options(std::move(InitialOptions)), Sink(LogOutput),
       Incarnation(incarnationAt(Time.wallNow())),
-      Memory(Options.Values.Bounds.ExplainedDecisions),
-      StoreCaller(StoreLoop.context(), http::ClientOptions()),
-      WorkerCaller(Network.context(), workerClientOptions()),
-      Backend(StoreCaller, Options.Values.Store),
-      Platform(StoreCaller, Options.Values.HostList), Workers(WorkerCaller),
-      Counted(StoreLoop, Backend, Shown),
-      ToNetwork(
-          Network, BatchesToNetwork,
-          [this](NetworkBatch Batch) { Callers.apply(std::move(Batch)); }),
-      ToPeers(Control, MessagesToControl,
-              [this](placement::SendSlotMessage Message) {
-                Peers.send(std::move(Message));
-              }),
-      Callers(Network,
-              {Options.Values.Entry, Incarnation, Options.Values.Callers,
-               Options.Values.Tls, Options.Values.Bounds},
-              Workers, Time, Shown, Sink),
-      Decisions(engineOptions(Options.Values, Incarnation), Time, Sink, Memory,
-                Shown, decisionOutlets()),
-      Claims(StoreLoop, placement::ClaimOptions(), Counted, Time, Shown,
+      History(Options.Config.ResourceLimits.HistoryDecisions),
+      StoreHttpClient(StoreLoop.context(), http::ClientOptions()),
+      WorkerHttpClient(Network.context(), workerClientOptions()),
+      Backend(StoreHttpClient, Options.Config.StoreAddress),
+      Platform(StoreHttpClient, Options.Config.HostListAddress),
+      Workers(WorkerHttpClient), PlatformStore(StoreLoop, Backend, Status),
+      NetworkMailbox(Network, NetworkMailboxCapacity,
+                     [this](NetworkBatch Batch) {
+                       CallerEndpoint.executeActions(std::move(Batch));
+                     }),
+      PeerMailbox(Control, PeerMailboxCapacity,
+                  [this](placement::SendSlotMessage Message) {
+                    PeerEndpoint.send(std::move(Message));
+                  }),
+      CallerEndpoint(Network,
+                     {Options.Config.Entry, Incarnation,
+                      Options.Config.CallerAddress, Options.Config.Tls,
+                      Options.Config.ResourceLimits},
+                     Workers, Time, Status, Sink),
+      Decisions(engineOptions(Options.Config, Incarnation), Time, Sink, History,
+                Status, decisionCallbacks()),
+      Claims(StoreLoop, placement::ClaimOptions(), PlatformStore, Time, Status,
              [this](placement::ClaimSettled Settled) {
                Decisions.push({std::move(Settled), nullptr});
              }),
-      Fleet(controllerOptions(Options.Values, Incarnation),
-            adoptionOptions(Options.Values), Time, Sink, Memory, Shown,
-            fleetOutlets()),
-      Peers(Control, peerOptions(Options, Incarnation), Time, Shown, Sink,
-            peerOutlets()),
-      Operators(Control, Options.Values.Operators,
-                {Options.Values.Entry, Options.Values.Region,
-                 Options.Values.DataCentre, Options.Embedded},
-                Time, Memory, Shown, Sink),
-      Listings(StoreLoop, Platform,
-               [this](HostListing Seen) { listed(std::move(Seen)); }) {
+      Fleet(controllerOptions(Options.Config, Incarnation),
+            adoptionOptions(Options.Config), Time, Sink, History, Status,
+            fleetCallbacks()),
+      PeerEndpoint(Control, peerOptions(Options, Incarnation), Time, Status,
+                   Sink, peerCallbacks()),
+      OperatorEndpoint(Control, Options.Config.OperatorAddress,
+                       {Options.Config.Entry, Options.Config.Region,
+                        Options.Config.DataCentre, Options.Embedded},
+                       Time, History, Status, Sink),
+      HostPoller(StoreLoop, Platform, [this](HostListing Listing) {
+        handleHostListing(std::move(Listing));
+      }) {
   connect();
 }
 
 void Daemon::Impl::connect() {
-  Callers.connect(
+  CallerEndpoint.connect(
       [this](DecisionInput Input) {
         return Decisions.tryPush(std::move(Input));
       },
-      [this](DocumentPtr Document) { inForce(std::move(Document)); });
-  Operators.connect(
-      [this](fleet::OperatorAsked Asked) {
-        return Fleet.tryPush(fleet::FleetEvent(std::move(Asked)));
+      [this](DocumentPtr Document) { publishDocument(std::move(Document)); });
+  OperatorEndpoint.connect(
+      [this](fleet::OperatorAsked Request) {
+        return Fleet.tryPush(fleet::FleetEvent(std::move(Request)));
       },
-      [this] { return ringStandings(); });
+      [this] { return ringStatuses(); });
 }
 
-DecisionOutlets Daemon::Impl::decisionOutlets() {
-  DecisionOutlets Outlets;
-  Outlets.Network = [this](NetworkBatch Batch) {
-    ToNetwork.post(std::move(Batch));
+DecisionCallbacks Daemon::Impl::decisionCallbacks() {
+  DecisionCallbacks Callbacks;
+  Callbacks.PostToNetwork = [this](NetworkBatch Batch) {
+    NetworkMailbox.post(std::move(Batch));
   };
-  Outlets.Claim = [this](placement::ClaimKey Key) {
+  Callbacks.RequestClaim = [this](placement::ClaimKey Key) {
     return Claims.tryPost(std::move(Key));
   };
-  Outlets.ClaimEnded = [this](RequestId Id, placement::Outcome End) {
-    Claims.tryPost(ClaimEnd{std::move(Id), End});
+  Callbacks.ClaimEnded = [this](RequestId Id, placement::Outcome Result) {
+    Claims.tryPost(ClaimEnd{std::move(Id), Result});
   };
-  Outlets.Peer = [this](placement::SendSlotMessage Message) {
-    ToPeers.tryPost(std::move(Message));
+  Callbacks.SendToPeer = [this](placement::SendSlotMessage Message) {
+    PeerMailbox.tryPost(std::move(Message));
   };
-  return Outlets;
+  return Callbacks;
 }
 
-FleetOutlets Daemon::Impl::fleetOutlets() {
-  FleetOutlets Outlets;
-  Outlets.Store = [this](fleet::SubmitToStore Submit) {
-    Counted.submit(
-        std::move(Submit.Request), [this, Of = Submit.Of](StoreReply Reply) {
-          Fleet.tryPush(
-              fleet::FleetEvent(fleet::StoreReplied{Of, std::move(Reply)}));
-        });
+FleetCallbacks Daemon::Impl::fleetCallbacks() {
+  FleetCallbacks Callbacks;
+  Callbacks.SubmitControllerRequest = [this](fleet::SubmitToStore Submit) {
+    PlatformStore.submit(std::move(Submit.Request),
+                         [this, Origin = Submit.Of](StoreReply Reply) {
+                           Fleet.tryPush(fleet::FleetEvent(
+                               fleet::StoreReplied{Origin, std::move(Reply)}));
+                         });
   };
-  Outlets.RulesStore = [this](const StoreRequest &Request) {
-    Counted.submit(Request, [this, Request](StoreReply Reply) {
+  Callbacks.SubmitRulesRequest = [this](const StoreRequest &Request) {
+    PlatformStore.submit(Request, [this, Request](StoreReply Reply) {
       Fleet.tryPush(AdoptionEvent(StoreReplied{Request, std::move(Reply)}));
     });
   };
-  Outlets.PullBase = [this] { Control.post([this] { Peers.pullBase(); }); };
-  Outlets.Order = [this](fleet::GiveOrder Order) {
-    StoreLoop.post([this, Given = std::move(Order)] {
-      Platform.order(Given.Order, [this, Of = Given.Of](absl::Status Done) {
-        Fleet.tryPush(
-            fleet::FleetEvent(fleet::OrderReplied{Of, std::move(Done)}));
-      });
+  Callbacks.PullBaseDocument = [this] {
+    Control.post([this] { PeerEndpoint.pullBase(); });
+  };
+  Callbacks.SendHostOrder = [this](fleet::GiveOrder Order) {
+    StoreLoop.post([this, HostOrder = std::move(Order)] {
+      Platform.order(HostOrder.Order,
+                     [this, Origin = HostOrder.Of](absl::Status OrderStatus) {
+                       Fleet.tryPush(fleet::FleetEvent(fleet::OrderReplied{
+                           Origin, std::move(OrderStatus)}));
+                     });
     });
   };
-  Outlets.AskWorker = [this](const HostName &Host, const Address &At) {
-    askWorker(Host, At);
+  Callbacks.RequestWorkerReport = [this](const HostName &Host,
+                                         const Address &At) {
+    requestWorkerReport(Host, At);
   };
-  Outlets.Answer = [this](fleet::AnswerOperator Answer) {
-    Control.post(
-        [this, Told = std::move(Answer)] { Operators.answered(Told); });
+  Callbacks.ReplyToOperator = [this](fleet::AnswerOperator Answer) {
+    Control.post([this, Reply = std::move(Answer)] {
+      OperatorEndpoint.handleAnswer(Reply);
+    });
   };
-  Outlets.Engine = [this](DecisionInput Input) {
+  Callbacks.PushToEngine = [this](DecisionInput Input) {
     Decisions.push(std::move(Input));
   };
-  return Outlets;
+  return Callbacks;
 }
 
-PeerOutlets Daemon::Impl::peerOutlets() {
-  PeerOutlets Outlets;
-  Outlets.Watch = [this](membership::WatchCall Call) {
-    Counted.submit(std::move(Call.Request), [this, Key = std::move(Call.Key)](
-                                                const StoreReply &Reply) {
-      Control.post([this, Key, Reply] { Peers.watched(Key, Reply); });
-    });
+PeerCallbacks Daemon::Impl::peerCallbacks() {
+  PeerCallbacks Callbacks;
+  Callbacks.SubmitWatch = [this](membership::WatchCall Call) {
+    PlatformStore.submit(
+        std::move(Call.Request),
+        [this, Key = std::move(Call.Key)](const StoreReply &Reply) {
+          Control.post([this, Key, Reply] {
+            PeerEndpoint.handleWatchReply(Key, Reply);
+          });
+        });
   };
-  Outlets.Candidate = [this](membership::Document Document) {
-    candidate(std::move(Document));
+  Callbacks.DocumentReceived = [this](membership::Document Document) {
+    handleReceivedDocument(std::move(Document));
   };
-  Outlets.Base = [this](const EntryName &From, std::string Text) {
+  Callbacks.BaseDocumentReceived = [this](const EntryName &From,
+                                          std::string Text) {
     Fleet.tryPush(AdoptionEvent(BaseSeen{From.Text, std::move(Text)}));
   };
-  Outlets.Slots = [this](placement::SlotMessageArrived Message) {
-    Decisions.tryPush({std::move(Message), nullptr});
-  };
-  Outlets.Entries = [this](std::vector<EntryName> Live) {
+  Callbacks.SlotMessageReceived =
+      [this](placement::SlotMessageArrived Message) {
+        Decisions.tryPush({std::move(Message), nullptr});
+      };
+  Callbacks.LiveEntriesChanged = [this](std::vector<EntryName> Live) {
     Decisions.push({placement::EntriesChanged{std::move(Live)}, nullptr});
   };
-  Outlets.Views = [this](fleet::EntriesSeen Seen) {
-    Fleet.tryPush(fleet::FleetEvent(std::move(Seen)));
+  Callbacks.EntryVersionsReported = [this](fleet::EntriesSeen Entries) {
+    Fleet.tryPush(fleet::FleetEvent(std::move(Entries)));
   };
-  return Outlets;
+  return Callbacks;
 }
 
-RingStandings Daemon::Impl::ringStandings() const {
+RingStatuses Daemon::Impl::ringStatuses() const {
   return {
       {"decisions", Decisions.ringFill(), Decisions.ringRefusals()},
       {"fleet", Fleet.ringFill(), Fleet.ringRefusals()},
-      {"network", ToNetwork.size(), ToNetwork.refusals()},
-      {"peers", ToPeers.size(), ToPeers.refusals()},
+      {"network", NetworkMailbox.size(), NetworkMailbox.refusals()},
+      {"peers", PeerMailbox.size(), PeerMailbox.refusals()},
       {"claims", Claims.ringFill(), Claims.ringRefusals()},
   };
 }
 
-void Daemon::Impl::candidate(membership::Document Document) {
+void Daemon::Impl::handleReceivedDocument(membership::Document Document) {
   if (Document.Key == HeadKey) {
     Fleet.tryPush(AdoptionEvent(
         HeadSeen{"exchange", Document.Version, std::move(Document.Text)}));
@@ -310,101 +328,108 @@
   }
 }
 
-void Daemon::Impl::inForce(DocumentPtr Document) {
-  Control.post(
-      [this, Adopted = std::move(Document)] { Peers.adopted(*Adopted); });
+void Daemon::Impl::publishDocument(DocumentPtr Document) {
+  Control.post([this, Activated = std::move(Document)] {
+    PeerEndpoint.documentActivated(*Activated);
+  });
 }
 
-void Daemon::Impl::askWorker(const HostName &Host, const Address &At) {
-  Network.post([this, Host, At] {
-    Workers.report(At, [this, Host](absl::StatusOr<WorkerReport> Report) {
+void Daemon::Impl::requestWorkerReport(const HostName &Host,
+                                       const Address &WorkerAddress) {
+  Network.post([this, Host, WorkerAddress] {
+    Workers.report(WorkerAddress, [this,
+                                   Host](absl::StatusOr<WorkerReport> Report) {
       if (Report.ok()) {
         Decisions.tryPush({placement::WorkerReported{Host, *Report}, nullptr});
       }
-      fleet::WorkerSeen Seen;
-      Seen.Host = Host;
-      Seen.Status = Report.status();
+      fleet::WorkerSeen Observation;
+      Observation.Host = Host;
+      Observation.Status = Report.status();
       if (Report.ok()) {
-        Seen.Report = *std::move(Report);
+        Observation.Report = *std::move(Report);
       }
-      Fleet.tryPush(fleet::FleetEvent(std::move(Seen)));
+      Fleet.tryPush(fleet::FleetEvent(std::move(Observation)));
     });
   });
 }
 
-void Daemon::Impl::listed(HostListing Listing) {
-  Control.post([this, Listing] { Peers.listed(Listing); });
+void Daemon::Impl::handleHostListing(HostListing Listing) {
+  Control.post([this, Listing] { PeerEndpoint.addListedEntries(Listing); });
   Fleet.tryPush(fleet::FleetEvent(fleet::ListingSeen{std::move(Listing)}));
 }
 
 absl::Status Daemon::Impl::start() {
-  for (const absl::Status &Bound :
-       {Callers.start(), Peers.start(), Operators.start()}) {
-    if (!Bound.ok()) {
-      return Bound;
+  for (const absl::Status &BindStatus :
+       {CallerEndpoint.start(), PeerEndpoint.start(),
+        OperatorEndpoint.start()}) {
+    if (!BindStatus.ok()) {
+      return BindStatus;
     }
   }
   Claims.start();
-  Listings.start();
-  Control.every(ReadyPeriod, [this] { updateReady(); });
+  HostPoller.start();
+  Control.every(ReadinessPeriod, [this] { updateReadiness(); });
   Network.start();
   StoreLoop.start();
   Control.start();
   Decisions.start();
   Fleet.start();
   Sink.write(LogLevel::Info, "entry-started",
-             {{"entry", Options.Values.Entry.Text},
+             {{"entry", Options.Config.Entry.Text},
               {"incarnation", Incarnation},
               {"embedded", Options.Embedded},
-              {"callers_port", Callers.port()},
-              {"peers_port", Peers.port()},
-              {"operators_port", Operators.port()}});
+              {"callers_port", CallerEndpoint.port()},
+              {"peers_port", PeerEndpoint.port()},
+              {"operators_port", OperatorEndpoint.port()}});
   return absl::OkStatus();
 }
 
-void Daemon::Impl::updateReady() {
-  Shown.Ready = !Shown.Stopping && Shown.Rules.get() != nullptr &&
-                Shown.Fleet.get().LedgerVersion > 0;
+void Daemon::Impl::updateReadiness() {
+  Status.IsReady = !Status.IsStopping && Status.Rules.get() != nullptr &&
+                   Status.Fleet.get().LedgerVersion > 0;
 }
 
 void Daemon::Impl::requestStop() {
   {
-    const std::lock_guard Guard(StopLock);
-    Stop = true;
+    const std::lock_guard Guard(StopMutex);
+    IsStopRequested = true;
   }
-  StopAsked.notify_all();
+  StopCondition.notify_all();
 }
 
 bool Daemon::Impl::wait() {
   {
-    std::unique_lock Guard(StopLock);
-    StopAsked.wait(Guard, [this] { return Stop; });
+    std::unique_lock Guard(StopMutex);
+    StopCondition.wait(Guard, [this] { return IsStopRequested; });
   }
-  Shown.Stopping = true;
-  Shown.Ready = false;
+  Status.IsStopping = true;
+  Status.IsReady = false;
   Sink.write(LogLevel::Info, "entry-stopping",
-             {{"open_requests", Callers.openRequests()}});
-  std::this_thread::sleep_for(Options.Values.Bounds.StopGrace);
-  const bool Drained = drain();
-  Control.post([this] { Peers.leave(); });
-  std::this_thread::sleep_for(LeaveWait);
+             {{"open_requests", CallerEndpoint.openRequests()}});
+  std::this_thread::sleep_for(Options.Config.ResourceLimits.StopGracePeriod);
+  const bool AllAnswered = drain();
+  Control.post([this] { PeerEndpoint.leave(); });
+  std::this_thread::sleep_for(LeaveDelay);
   stopThreads();
   Sink.write(LogLevel::Info, "entry-stopped",
-             {{"unanswered", Callers.openRequests()}});
-  return Drained;
+             {{"unanswered", CallerEndpoint.openRequests()}});
+  return AllAnswered;
 }
 
-/// Waits until every request in flight has its answer.
+/// Waits until every open request is answered and all callers have
+/// disconnected. Returns false if requests are still open at the timeout.
 bool Daemon::Impl::drain() {
   Decisions.push({placement::StopRequested{}, nullptr});
-  Callers.stopAccepting();
-  const auto Bound = std::chrono::steady_clock::now() +
-                     std::chrono::nanoseconds(Options.Values.Bounds.StopWait);
-  while (Callers.openRequests() > 0 || Callers.connections() > 0) {
-    if (std::chrono::steady_clock::now() >= Bound) {
-      return Callers.openRequests() == 0;
+  CallerEndpoint.stopAccepting();
+  const auto Deadline =
+      std::chrono::steady_clock::now() +
+      std::chrono::nanoseconds(Options.Config.ResourceLimits.DrainTimeout);
+  while (CallerEndpoint.openRequests() > 0 ||
+         CallerEndpoint.connections() > 0) {
+    if (std::chrono::steady_clock::now() >= Deadline) {
+      return CallerEndpoint.openRequests() == 0;
     }
-    std::this_thread::sleep_for(StopPoll);
+    std::this_thread::sleep_for(DrainPollPeriod);
   }
   return true;
 }
@@ -418,22 +443,26 @@
 }
 
 Daemon::Daemon(DaemonOptions Options, const Clock &TimeSource, LogSink &Sink)
-    : Self(std::make_unique<Impl>(std::move(Options), TimeSource, Sink)) {}
+    : Pimpl(std::make_unique<Impl>(std::move(Options), TimeSource, Sink)) {}
 
 Daemon::~Daemon() = default;
 
-absl::Status Daemon::start() { return Self->start(); }
+absl::Status Daemon::start() { return Pimpl->start(); }
 
-std::uint16_t Daemon::callersPort() const { return Self->callers().port(); }
+std::uint16_t Daemon::callersPort() const {
+  return Pimpl->callerServer().port();
+}
 
-std::uint16_t Daemon::peersPort() const { return Self->peers().port(); }
+std::uint16_t Daemon::peersPort() const { return Pimpl->peerService().port(); }
 
-std::uint16_t Daemon::operatorsPort() const { return Self->operators().port(); }
+std::uint16_t Daemon::operatorsPort() const {
+  return Pimpl->operatorServer().port();
+}
 
-bool Daemon::ready() const { return Self->ready(); }
+bool Daemon::isReady() const { return Pimpl->isReady(); }
 
-void Daemon::requestStop() { Self->requestStop(); }
+void Daemon::requestStop() { Pimpl->requestStop(); }
 
-bool Daemon::wait() { return Self->wait(); }
+bool Daemon::wait() { return Pimpl->wait(); }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/DecisionMemory.cpp
+++ b/Source/Daemon/DecisionHistory.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Bounded memory of decisions.
 
-#include "balsamlatch/Daemon/DecisionMemory.h"
+#include "balsamlatch/Daemon/DecisionHistory.h"
 
 #include <algorithm>
 
@@ -21,15 +21,15 @@
 
 } // namespace
 
-DecisionMemory::DecisionMemory(std::size_t Capacity) : Kept(Capacity) {}
+DecisionHistory::DecisionHistory(std::size_t Capacity) : Kept(Capacity) {}
 
-void DecisionMemory::add(Decision Made) {
+void DecisionHistory::add(Decision Made) {
   const std::lock_guard Guard(Lock);
   Made.Sequence = NextSequence++;
   Kept.push_back(std::move(Made));
 }
 
-std::vector<Decision> DecisionMemory::about(std::string_view Subject) const {
+std::vector<Decision> DecisionHistory::about(std::string_view Subject) const {
   std::vector<Decision> Found;
   std::size_t Requests = 0;
   const std::lock_guard Guard(Lock);
--- a/Source/Daemon/DecisionThread.cpp
+++ b/Source/Daemon/DecisionThread.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Feeds the placement engine and hands its actions to the other threads.
+/// Passes events to the placement engine and its actions to other threads.
 
 #include "balsamlatch/Daemon/DecisionThread.h"
 
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr std::size_t InboxCapacity = 65'536;
-/// Actions handed to the network thread at once.
-constexpr std::size_t BatchActions = 256;
+/// Number of actions at which a batch is sent to the network thread early.
+constexpr std::size_t MaxBatchActions = 256;
 constexpr Duration PublishPeriod = std::chrono::milliseconds(200);
 
-LogLevel levelOf(placement::Reason Why) {
-  switch (Why) {
+LogLevel logLevelFor(placement::Reason Reason) {
+  switch (Reason) {
   case placement::Reason::WorkerEjected:
   case placement::Reason::JobEjected:
   case placement::Reason::ClaimUnavailable:
@@ -31,23 +31,24 @@
 } // namespace
 
 DecisionThread::DecisionThread(placement::EngineOptions Options,
-                               const Clock &Time, LogSink &Log,
-                               DecisionMemory &Decisions, Board &Standing,
-                               DecisionOutlets Out)
-    : Engine(std::move(Options)), TimeSource(Time), Sink(Log),
-      Memory(Decisions), Shown(Standing), Outlets(std::move(Out)),
-      Inbox(InboxCapacity) {}
+                               const Clock &Time, LogSink &LogOutput,
+                               DecisionHistory &SharedHistory,
+                               DaemonStatus &SharedStatus,
+                               DecisionCallbacks InitialCallbacks)
+    : Engine(std::move(Options)), TimeSource(Time), Sink(LogOutput),
+      History(SharedHistory), Status(SharedStatus),
+      Callbacks(std::move(InitialCallbacks)), Inbox(InboxCapacity) {}
 
 DecisionThread::~DecisionThread() { stop(); }
 
 void DecisionThread::start() {
-  Runner = std::thread([this] { run(); });
+  Thread = std::thread([this] { run(); });
 }
 
 void DecisionThread::stop() {
   Inbox.close();
-  if (Runner.joinable()) {
-    Runner.join();
+  if (Thread.joinable()) {
+    Thread.join();
   }
 }
 
@@ -55,11 +56,11 @@
   Instant NextTick = TimeSource.now();
   Instant NextPublish = NextTick;
   while (true) {
-    const bool Ending = Inbox.closed();
-    const Duration Wait =
+    const bool IsStopping = Inbox.closed();
+    const Duration Timeout =
         std::max(Duration::zero(), NextTick - TimeSource.now());
     NetworkBatch Batch;
-    for (const DecisionInput &Input : Inbox.popAll(Wait)) {
+    for (const DecisionInput &Input : Inbox.popAll(Timeout)) {
       handle(Input, Batch);
     }
     const Instant Now = TimeSource.now();
@@ -68,38 +69,38 @@
       NextTick = Now + placement::TickPeriod;
     }
     flush(Batch);
-    if (Now >= NextPublish || Ending) {
-      publish();
+    if (Now >= NextPublish || IsStopping) {
+      publishStatus();
       NextPublish = Now + PublishPeriod;
     }
-    if (Ending) {
+    if (IsStopping) {
       return;
     }
   }
 }
 
 void DecisionThread::handle(const DecisionInput &Input, NetworkBatch &Batch) {
-  if (Input.Happened) {
-    handle(*Input.Happened, Batch);
+  if (Input.Event) {
+    handle(*Input.Event, Batch);
   }
-  if (Input.InForce != nullptr) {
-    if (Input.InForce->Key != HeadKey) {
-      LedgerVersion = Input.InForce->Version;
+  if (Input.ActivatedDocument != nullptr) {
+    if (Input.ActivatedDocument->Key != HeadKey) {
+      LedgerVersion = Input.ActivatedDocument->Version;
     }
-    Batch.InForce.push_back(Input.InForce);
+    Batch.ActivatedDocuments.push_back(Input.ActivatedDocument);
   }
-  if (Batch.Actions.size() >= BatchActions) {
+  if (Batch.Actions.size() >= MaxBatchActions) {
     flush(Batch);
   }
 }
 
-void DecisionThread::handle(const placement::Event &Happened,
+void DecisionThread::handle(const placement::Event &Event,
                             NetworkBatch &Batch) {
-  if (const auto *Changed = std::get_if<placement::RulesChanged>(&Happened)) {
-    Rules = Changed->Rules->Version;
+  if (const auto *RulesChange = std::get_if<placement::RulesChanged>(&Event)) {
+    ActiveRules = RulesChange->Rules->Version;
   }
-  for (placement::Action &Wanted : Engine.handle(Happened, TimeSource.now())) {
-    dispatch(std::move(Wanted), Batch);
+  for (placement::Action &Action : Engine.handle(Event, TimeSource.now())) {
+    executeAction(std::move(Action), Batch);
   }
   for (RequestId &Id : std::exchange(FailedClaims, {})) {
     placement::ClaimSettled Settled;
@@ -109,49 +110,49 @@
   }
 }
 
-void DecisionThread::dispatch(placement::Action Wanted, NetworkBatch &Batch) {
-  if (auto *Line = std::get_if<placement::LogDecision>(&Wanted)) {
-    record(std::move(*Line));
-  } else if (auto *Claim = std::get_if<placement::ClaimKey>(&Wanted)) {
+void DecisionThread::executeAction(placement::Action Action,
+                                   NetworkBatch &Batch) {
+  if (auto *LogEntry = std::get_if<placement::LogDecision>(&Action)) {
+    logDecision(std::move(*LogEntry));
+  } else if (auto *Claim = std::get_if<placement::ClaimKey>(&Action)) {
     const RequestId Id = Claim->Id;
-    Claimed.insert(Id);
-    if (!Outlets.Claim(std::move(*Claim))) {
+    ClaimedRequests.insert(Id);
+    if (!Callbacks.RequestClaim(std::move(*Claim))) {
       FailedClaims.push_back(Id);
     }
-  } else if (auto *Message = std::get_if<placement::SendSlotMessage>(&Wanted)) {
-    Outlets.Peer(std::move(*Message));
+  } else if (auto *Message = std::get_if<placement::SendSlotMessage>(&Action)) {
+    Callbacks.SendToPeer(std::move(*Message));
   } else {
-    const auto *End = std::get_if<placement::FinishRequest>(&Wanted);
-    if (End != nullptr && Claimed.erase(End->Id) > 0) {
-      Outlets.ClaimEnded(End->Id, End->End);
+    const auto *Completion = std::get_if<placement::FinishRequest>(&Action);
+    if (Completion != nullptr && ClaimedRequests.erase(Completion->Id) > 0) {
+      Callbacks.ClaimEnded(Completion->Id, Completion->End);
     }
-    Batch.Actions.push_back(std::move(Wanted));
+    Batch.Actions.push_back(std::move(Action));
   }
 }
 
-void DecisionThread::record(placement::LogDecision Line) {
-  const char *Code = placement::reasonCode(Line.Why);
-  boost::json::object Fields = Line.Details;
-  Fields["subject"] = Line.Subject;
-  Fields["rule_line"] = Line.RuleLine;
-  Fields["rules"] = Rules.Value;
+void DecisionThread::logDecision(placement::LogDecision LogEntry) {
+  const char *Code = placement::reasonCode(LogEntry.Why);
+  boost::json::object Fields = LogEntry.Details;
+  Fields["subject"] = LogEntry.Subject;
+  Fields["rule_line"] = LogEntry.RuleLine;
+  Fields["rules"] = ActiveRules.Value;
   Fields["ledger"] = LedgerVersion;
-  Sink.write(levelOf(Line.Why), Code, std::move(Fields));
-  Memory.add(Decision{TimeSource.wallNow(), 0, std::move(Line.Subject), Code,
-                      Line.RuleLine, Rules, LedgerVersion,
-                      std::move(Line.Details)});
+  Sink.write(logLevelFor(LogEntry.Why), Code, std::move(Fields));
+  History.add(Decision{TimeSource.wallNow(), 0, std::move(LogEntry.Subject),
+                       Code, LogEntry.RuleLine, ActiveRules, LedgerVersion,
+                       std::move(LogEntry.Details)});
 }
 
 void DecisionThread::flush(NetworkBatch &Batch) {
-  if (!Batch.Actions.empty() || !Batch.InForce.empty()) {
-    Outlets.Network(std::exchange(Batch, {}));
+  if (!Batch.Actions.empty() || !Batch.ActivatedDocuments.empty()) {
+    Callbacks.PostToNetwork(std::exchange(Batch, {}));
   }
 }
 
-void DecisionThread::publish() {
-  Shown.Serving.set(ServingStanding{Engine.standings(), Engine.counters(),
-                                    Engine.openRequests(),
-                                    Engine.openAttempts()});
+void DecisionThread::publishStatus() {
+  Status.Engine.set(EngineStatus{Engine.standings(), Engine.counters(),
+                                 Engine.openRequests(), Engine.openAttempts()});
 }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/Embedded.cpp
+++ b/Source/Daemon/Embedded.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-absl::StatusOr<OwnerPair> newOwners() {
+absl::StatusOr<OwnerKeyPairs> generateOwnerKeys() {
   absl::StatusOr<PrivateKey> First = PrivateKey::generate();
   absl::StatusOr<PrivateKey> Second = PrivateKey::generate();
   if (!First.ok()) {
@@ -64,15 +64,15 @@
   if (!Second.ok()) {
     return Second.status();
   }
-  return OwnerPair{*std::move(First), *std::move(Second)};
+  return OwnerKeyPairs{*std::move(First), *std::move(Second)};
 }
 
-std::string firstRules(const OwnerPair &Owners) {
+std::string embeddedRules(const OwnerKeyPairs &Owners) {
   return fmt::format(RulesTemplate, toHex(Owners.First.publicKey()),
                      toHex(Owners.Second.publicKey()));
 }
 
-standin::Options firstPlatform() {
+standin::Options embeddedPlatformOptions() {
   constexpr unsigned HostsPerPool = 10;
   standin::Options Options;
   Options.Hosts = standin::evenFleet(
@@ -85,7 +85,7 @@
 
 class EmbeddedPlatform::Impl {
 public:
-  Impl(const Clock &Time, const standin::Options &Options, OwnerPair Pair)
+  Impl(const Clock &Time, const standin::Options &Options, OwnerKeyPairs Pair)
       : Owners(std::move(Pair)), Platform(Loop.context(), Time, Options) {}
 
   absl::Status start(const std::string &RulesText) {
@@ -118,7 +118,7 @@
     }
   }
 
-  OwnerPair Owners;
+  OwnerKeyPairs Owners;
   EventLoop Loop;
   standin::StandInPlatform Platform;
   bool Stopped = false;
@@ -126,31 +126,31 @@
 
 EmbeddedPlatform::EmbeddedPlatform(const Clock &TimeSource,
                                    const standin::Options &Options,
-                                   OwnerPair Owners)
-    : Self(std::make_unique<Impl>(TimeSource, Options, std::move(Owners))) {}
+                                   OwnerKeyPairs Owners)
+    : Pimpl(std::make_unique<Impl>(TimeSource, Options, std::move(Owners))) {}
 
 EmbeddedPlatform::~EmbeddedPlatform() { stop(); }
 
 absl::Status EmbeddedPlatform::start(const std::string &RulesText) {
-  return Self->start(RulesText);
+  return Pimpl->start(RulesText);
 }
 
-void EmbeddedPlatform::stop() { Self->stop(); }
+void EmbeddedPlatform::stop() { Pimpl->stop(); }
 
-std::uint16_t EmbeddedPlatform::port() const { return Self->Platform.port(); }
+std::uint16_t EmbeddedPlatform::port() const { return Pimpl->Platform.port(); }
 
-const OwnerPair &EmbeddedPlatform::owners() const { return Self->Owners; }
+const OwnerKeyPairs &EmbeddedPlatform::owners() const { return Pimpl->Owners; }
 
 DaemonOptions EmbeddedPlatform::entryOptions(const std::string &Entry) const {
   DaemonOptions Options;
   Options.Embedded = true;
   Options.PeerSecret = std::string(EmbeddedSecret);
-  Settings &Values = Options.Values;
-  Values.Entry = EntryName(Entry);
-  Values.DataCentre = DataCentreName("dc1");
-  Values.Store = Address{"127.0.0.1", port()};
-  Values.HostList = Values.Store;
-  Values.GenesisOwners = {
+  Settings &Config = Options.Config;
+  Config.Entry = EntryName(Entry);
+  Config.DataCentre = DataCentreName("dc1");
+  Config.StoreAddress = Address{"127.0.0.1", port()};
+  Config.HostListAddress = Config.StoreAddress;
+  Config.GenesisOwners = {
       {OwnerName("first"), toHex(owners().First.publicKey())},
       {OwnerName("second"), toHex(owners().Second.publicKey())}};
   return Options;
--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Feeds the controller and the adoption of rules, and derives the engine's
-/// view of the workers.
+/// Passes events to the controller and the rules adoption, and derives the list
+/// of workers that the engine may use.
 
 #include "balsamlatch/Daemon/FleetThread.h"
 
@@ -13,34 +13,33 @@
 namespace {
 
 constexpr std::size_t InboxCapacity = 8192;
-/// Slots of a worker that has not reported yet.
+/// Assumed number of slots of a worker that has not reported yet.
 constexpr std::uint32_t DefaultSlots = 8;
-/// Workers asked for a report at each tick, so that the cost for an entry
-/// doesn't grow with the number of workers.
-constexpr std::size_t AsksPerTick = 2;
+/// Number of workers asked for a report at each tick. It is fixed so that the
+/// cost for an entry doesn't grow with the number of workers.
+constexpr std::size_t ReportRequestsPerTick = 2;
 
 } // namespace
 
 std::vector<placement::WorkerView>
 usableWorkers(const fleet::Ledger &Ledger, const HostListing &Listing,
-              const std::map<HostName, std::uint32_t> &Slots) {
+              const std::map<HostName, std::uint32_t> &SlotsByHost) {
   std::vector<placement::WorkerView> Workers;
-  for (const ListedHost &Listed : Listing.Hosts) {
-    const auto Known = Ledger.Hosts.find(Listed.Host);
-    if (Listed.Role != HostRole::Worker || Known == Ledger.Hosts.end()) {
+  for (const ListedHost &Host : Listing.Hosts) {
+    const auto RecordIt = Ledger.Hosts.find(Host.Host);
+    if (Host.Role != HostRole::Worker || RecordIt == Ledger.Hosts.end()) {
       continue;
     }
-    const fleet::HostRecord &Record = Known->second;
-    const auto Reported = Slots.find(Listed.Host);
+    const fleet::HostRecord &Record = RecordIt->second;
+    const auto SlotsIt = SlotsByHost.find(Host.Host);
     placement::WorkerView View;
-    View.Host = Listed.Host;
-    View.At = Listed.At;
+    View.Host = Host.Host;
+    View.At = Host.At;
     View.Pool = Record.Pool;
     View.Rack = Record.Rack;
     View.DataCentre = Record.DataCentre;
-    View.Accepting =
-        Record.accepting() && Listed.Presence == HostPresence::Live;
-    View.Slots = Reported == Slots.end() ? DefaultSlots : Reported->second;
+    View.Accepting = Record.accepting() && Host.Presence == HostPresence::Live;
+    View.Slots = SlotsIt == SlotsByHost.end() ? DefaultSlots : SlotsIt->second;
     Workers.push_back(std::move(View));
   }
   std::sort(Workers.begin(), Workers.end());
@@ -49,182 +48,190 @@
 
 FleetThread::FleetThread(const fleet::ControllerOptions &Options,
                          AdoptionOptions RulesOptions, const Clock &Time,
-                         LogSink &Log, DecisionMemory &Decisions,
-                         Board &Standing, FleetOutlets Out)
-    : Controller(Options), Rules(std::move(RulesOptions)),
-      LedgerKey(fleet::ledgerKey(Options.Region)), TimeSource(Time), Sink(Log),
-      Memory(Decisions), Shown(Standing), Outlets(std::move(Out)),
-      Inbox(InboxCapacity) {}
+                         LogSink &LogOutput, DecisionHistory &SharedHistory,
+                         DaemonStatus &SharedStatus,
+                         FleetCallbacks InitialCallbacks)
+    : Controller(Options), RulesAdoption(std::move(RulesOptions)),
+      LedgerKey(fleet::ledgerKey(Options.Region)), TimeSource(Time),
+      Sink(LogOutput), History(SharedHistory), Status(SharedStatus),
+      Callbacks(std::move(InitialCallbacks)), Inbox(InboxCapacity) {}
 
 FleetThread::~FleetThread() { stop(); }
 
 void FleetThread::start() {
-  Runner = std::thread([this] { run(); });
+  Thread = std::thread([this] { run(); });
 }
 
 void FleetThread::stop() {
   Inbox.close();
-  if (Runner.joinable()) {
-    Runner.join();
+  if (Thread.joinable()) {
+    Thread.join();
   }
 }
 
 void FleetThread::run() {
   Instant NextTick = TimeSource.now();
-  carryOut(Rules.start(NextTick));
+  execute(RulesAdoption.start(NextTick));
   while (!Inbox.closed()) {
-    const Duration Wait =
+    const Duration Timeout =
         std::max(Duration::zero(), NextTick - TimeSource.now());
-    for (const FleetInput &Happened : Inbox.popAll(Wait)) {
-      handle(Happened);
+    for (const FleetInput &Input : Inbox.popAll(Timeout)) {
+      handle(Input);
     }
     if (const Instant Now = TimeSource.now(); Now >= NextTick) {
       handle(fleet::FleetEvent(fleet::FleetTick{}));
-      carryOut(Rules.handle(AdoptionTick{}, Now));
-      askNextWorkers();
+      execute(RulesAdoption.handle(AdoptionTick{}, Now));
+      requestWorkerReports();
       NextTick = Now + fleet::FleetTickPeriod;
     }
     updateWorkers();
-    publish();
+    publishStatus();
   }
 }
 
-void FleetThread::handle(const FleetInput &Happened) {
-  if (const auto *Event = std::get_if<fleet::FleetEvent>(&Happened)) {
+void FleetThread::handle(const FleetInput &Input) {
+  if (const auto *Event = std::get_if<fleet::FleetEvent>(&Input)) {
     handle(*Event);
   } else {
-    carryOut(Rules.handle(std::get<AdoptionEvent>(Happened), TimeSource.now()));
+    execute(
+        RulesAdoption.handle(std::get<AdoptionEvent>(Input), TimeSource.now()));
   }
 }
 
-void FleetThread::carryOut(std::vector<AdoptionAction> Actions) {
-  std::optional<placement::Event> Changed;
-  DocumentPtr Head;
-  for (AdoptionAction &Wanted : Actions) {
-    if (auto *Call = std::get_if<CallStore>(&Wanted)) {
-      Outlets.RulesStore(std::move(Call->Request));
-    } else if (std::holds_alternative<PullBase>(Wanted)) {
-      Outlets.PullBase();
-    } else if (auto *Accepted = std::get_if<RulesInForce>(&Wanted)) {
-      Changed = placement::RulesChanged{Accepted->Rules};
-      takeRules(std::move(Accepted->Rules));
-    } else if (auto *Seen = std::get_if<HeadInForce>(&Wanted)) {
-      Head = std::make_shared<const membership::Document>(membership::Document{
-          std::string(HeadKey), Seen->StoreVersion, std::move(Seen->Text)});
-    } else if (auto *Line = std::get_if<AdoptionReport>(&Wanted)) {
-      report(std::move(*Line));
+void FleetThread::execute(std::vector<AdoptionAction> Actions) {
+  std::optional<placement::Event> Event;
+  DocumentPtr HeadDocument;
+  for (AdoptionAction &Action : Actions) {
+    if (auto *StoreCall = std::get_if<CallStore>(&Action)) {
+      Callbacks.SubmitRulesRequest(std::move(StoreCall->Request));
+    } else if (std::holds_alternative<PullBase>(Action)) {
+      Callbacks.PullBaseDocument();
+    } else if (auto *RulesAction = std::get_if<RulesInForce>(&Action)) {
+      Event = placement::RulesChanged{RulesAction->Rules};
+      activateRules(std::move(RulesAction->Rules));
+    } else if (auto *HeadAction = std::get_if<HeadInForce>(&Action)) {
+      HeadDocument = std::make_shared<const membership::Document>(
+          membership::Document{std::string(HeadKey), HeadAction->StoreVersion,
+                               std::move(HeadAction->Text)});
+    } else if (auto *Report = std::get_if<AdoptionReport>(&Action)) {
+      logAdoptionReport(std::move(*Report));
     }
   }
-  if (Changed || Head != nullptr) {
-    Outlets.Engine(DecisionInput{std::move(Changed), std::move(Head)});
+  if (Event || HeadDocument != nullptr) {
+    Callbacks.PushToEngine(
+        DecisionInput{std::move(Event), std::move(HeadDocument)});
   }
 }
 
-void FleetThread::takeRules(RuleSetPtr Accepted) {
-  InForce = Accepted->Version;
-  Shown.Rules.set(Accepted);
-  Shown.RulesText.set(
-      std::make_shared<const std::string>(Rules.state()->text()));
-  Shown.RulesBase.set(
-      std::make_shared<const std::string>(Rules.baseDocument()));
-  handle(fleet::FleetEvent(fleet::RulesSeen{std::move(Accepted)}));
+void FleetThread::activateRules(RuleSetPtr NewRules) {
+  ActiveRulesVersion = NewRules->Version;
+  Status.Rules.set(NewRules);
+  Status.RulesText.set(
+      std::make_shared<const std::string>(RulesAdoption.state()->text()));
+  Status.RulesBase.set(
+      std::make_shared<const std::string>(RulesAdoption.baseDocument()));
+  handle(fleet::FleetEvent(fleet::RulesSeen{std::move(NewRules)}));
 }
 
-void FleetThread::report(AdoptionReport Line) {
-  Sink.write(Line.Level, Line.Reason,
-             {{"from", Line.From},
-              {"rules", Line.Version.Value},
-              {"message", Line.Message}});
+void FleetThread::logAdoptionReport(AdoptionReport Report) {
+  Sink.write(Report.Level, Report.Reason,
+             {{"from", Report.From},
+              {"rules", Report.Version.Value},
+              {"message", Report.Message}});
 }
 
-void FleetThread::handle(const fleet::FleetEvent &Happened) {
-  note(Happened);
-  for (fleet::FleetAction &Wanted :
-       Controller.handle(Happened, TimeSource.now(), TimeSource.wallNow())) {
-    dispatch(std::move(Wanted));
+void FleetThread::handle(const fleet::FleetEvent &Event) {
+  updateInventory(Event);
+  for (fleet::FleetAction &Action :
+       Controller.handle(Event, TimeSource.now(), TimeSource.wallNow())) {
+    executeAction(std::move(Action));
   }
 }
 
-void FleetThread::note(const fleet::FleetEvent &Happened) {
-  if (const auto *Seen = std::get_if<fleet::ListingSeen>(&Happened)) {
-    if (Seen->Listing.Generation >= Listing.Generation) {
-      Listing = Seen->Listing;
+void FleetThread::updateInventory(const fleet::FleetEvent &Event) {
+  if (const auto *ListingEvent = std::get_if<fleet::ListingSeen>(&Event)) {
+    if (ListingEvent->Listing.Generation >= Listing.Generation) {
+      Listing = ListingEvent->Listing;
     }
-  } else if (const auto *Worker = std::get_if<fleet::WorkerSeen>(&Happened)) {
-    if (Worker->Status.ok() && Worker->Report.SlotsTotal > 0) {
-      Slots[Worker->Host] = Worker->Report.SlotsTotal;
+  } else if (const auto *WorkerEvent = std::get_if<fleet::WorkerSeen>(&Event)) {
+    if (WorkerEvent->Status.ok() && WorkerEvent->Report.SlotsTotal > 0) {
+      SlotsByHost[WorkerEvent->Host] = WorkerEvent->Report.SlotsTotal;
     }
   }
 }
 
-void FleetThread::dispatch(fleet::FleetAction Wanted) {
-  if (auto *Submit = std::get_if<fleet::SubmitToStore>(&Wanted)) {
-    Outlets.Store(std::move(*Submit));
-  } else if (auto *Order = std::get_if<fleet::GiveOrder>(&Wanted)) {
-    ++Shown.Counters.HostOrders;
-    Outlets.Order(std::move(*Order));
-  } else if (auto *Ask = std::get_if<fleet::AskWorker>(&Wanted)) {
-    for (const ListedHost &Listed : Listing.Hosts) {
-      if (Listed.Host == Ask->Host) {
-        Outlets.AskWorker(Listed.Host, Listed.At);
+void FleetThread::executeAction(fleet::FleetAction Action) {
+  if (auto *Submit = std::get_if<fleet::SubmitToStore>(&Action)) {
+    Callbacks.SubmitControllerRequest(std::move(*Submit));
+  } else if (auto *Order = std::get_if<fleet::GiveOrder>(&Action)) {
+    ++Status.Counters.HostOrders;
+    Callbacks.SendHostOrder(std::move(*Order));
+  } else if (auto *ReportRequest = std::get_if<fleet::AskWorker>(&Action)) {
+    for (const ListedHost &Host : Listing.Hosts) {
+      if (Host.Host == ReportRequest->Host) {
+        Callbacks.RequestWorkerReport(Host.Host, Host.At);
       }
     }
-  } else if (auto *Answer = std::get_if<fleet::AnswerOperator>(&Wanted)) {
-    Outlets.Answer(std::move(*Answer));
-  } else if (auto *Line = std::get_if<fleet::LogFleetDecision>(&Wanted)) {
-    record(std::move(*Line));
+  } else if (auto *Answer = std::get_if<fleet::AnswerOperator>(&Action)) {
+    Callbacks.ReplyToOperator(std::move(*Answer));
+  } else if (auto *LogEntry = std::get_if<fleet::LogFleetDecision>(&Action)) {
+    logDecision(std::move(*LogEntry));
   }
 }
 
-void FleetThread::record(fleet::LogFleetDecision Line) {
-  boost::json::object Fields = Line.Details;
-  Fields["subject"] = Line.Host.Text;
-  Fields["rule_line"] = Line.RuleLine;
-  Fields["rules"] = InForce.Value;
+void FleetThread::logDecision(fleet::LogFleetDecision LogEntry) {
+  boost::json::object Fields = LogEntry.Details;
+  Fields["subject"] = LogEntry.Host.Text;
+  Fields["rule_line"] = LogEntry.RuleLine;
+  Fields["rules"] = ActiveRulesVersion.Value;
   Fields["ledger"] = Controller.ledgerVersion();
-  Sink.write(LogLevel::Info, Line.Reason, std::move(Fields));
-  Memory.add(Decision{TimeSource.wallNow(), 0, std::move(Line.Host.Text),
-                      std::move(Line.Reason), Line.RuleLine, InForce,
-                      Controller.ledgerVersion(), std::move(Line.Details)});
+  Sink.write(LogLevel::Info, LogEntry.Reason, std::move(Fields));
+  History.add(Decision{TimeSource.wallNow(), 0, std::move(LogEntry.Host.Text),
+                       std::move(LogEntry.Reason), LogEntry.RuleLine,
+                       ActiveRulesVersion, Controller.ledgerVersion(),
+                       std::move(LogEntry.Details)});
 }
 
-void FleetThread::askNextWorkers() {
-  for (std::size_t I = 0; I < std::min(AsksPerTick, ToldWorkers.size()); ++I) {
+void FleetThread::requestWorkerReports() {
+  for (std::size_t I = 0;
+       I < std::min(ReportRequestsPerTick, EngineWorkers.size()); ++I) {
     const placement::WorkerView &Next =
-        ToldWorkers[NextAsked++ % ToldWorkers.size()];
-    Outlets.AskWorker(Next.Host, Next.At);
+        EngineWorkers[NextReportIndex++ % EngineWorkers.size()];
+    Callbacks.RequestWorkerReport(Next.Host, Next.At);
   }
 }
 
 void FleetThread::updateWorkers() {
   std::vector<placement::WorkerView> Workers =
-      usableWorkers(Controller.ledger(), Listing, Slots);
+      usableWorkers(Controller.ledger(), Listing, SlotsByHost);
   const std::uint64_t Version = Controller.ledgerVersion();
-  if (Version == ToldLedgerVersion && Workers == ToldWorkers) {
+  if (Version == EngineLedgerVersion && Workers == EngineWorkers) {
     return;
   }
-  DocumentPtr Seen;
-  if (Version != ToldLedgerVersion) {
-    Seen = std::make_shared<const membership::Document>(membership::Document{
-        LedgerKey, Version, fleet::encodeLedger(Controller.ledger())});
+  DocumentPtr LedgerDocument;
+  if (Version != EngineLedgerVersion) {
+    LedgerDocument =
+        std::make_shared<const membership::Document>(membership::Document{
+            LedgerKey, Version, fleet::encodeLedger(Controller.ledger())});
   }
-  ToldWorkers = Workers;
-  ToldLedgerVersion = Version;
-  Outlets.Engine(DecisionInput{placement::WorkersChanged{std::move(Workers)},
-                               std::move(Seen)});
+  EngineWorkers = Workers;
+  EngineLedgerVersion = Version;
+  Callbacks.PushToEngine(
+      DecisionInput{placement::WorkersChanged{std::move(Workers)},
+                    std::move(LedgerDocument)});
 }
 
-void FleetThread::publish() {
-  FleetStanding Standing = Shown.Fleet.get();
-  if (Standing.LedgerVersion != Controller.ledgerVersion()) {
-    Standing.Ledger =
+void FleetThread::publishStatus() {
+  FleetStatus NewStatus = Status.Fleet.get();
+  if (NewStatus.LedgerVersion != Controller.ledgerVersion()) {
+    NewStatus.Ledger =
         std::make_shared<const fleet::Ledger>(Controller.ledger());
-    Standing.LedgerVersion = Controller.ledgerVersion();
+    NewStatus.LedgerVersion = Controller.ledgerVersion();
   }
-  Standing.Leads = Controller.leads();
-  Standing.ListingGeneration = Listing.Generation;
-  Standing.ListedWorkers = ToldWorkers.size();
-  Shown.Fleet.set(std::move(Standing));
+  NewStatus.IsLeader = Controller.leads();
+  NewStatus.ListingGeneration = Listing.Generation;
+  NewStatus.UsableWorkers = EngineWorkers.size();
+  Status.Fleet.set(std::move(NewStatus));
 }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/MetricsPage.cpp
+++ b/Source/Daemon/MetricsPage.cpp
@@ -62,7 +62,7 @@
 
 double real(std::uint64_t Count) { return static_cast<double>(Count); }
 
-void addServing(Page &To, const ServingStanding &Serving) {
+void addServing(Page &To, const EngineStatus &Serving) {
   const placement::EngineCounters &Counts = Serving.Counters;
   MetricFamily &Ends =
       To.family(MetricType::Counter, "balsamlatch_requests_total",
@@ -89,7 +89,7 @@
            real(Serving.OpenAttempts));
 }
 
-void addPools(Page &To, const ServingStanding &Serving) {
+void addPools(Page &To, const EngineStatus &Serving) {
   MetricFamily &Queued =
       To.family(MetricType::Gauge, "balsamlatch_queued_requests",
                 "Requests that wait for a slot, by pool and class.");
@@ -132,7 +132,7 @@
   return Counts;
 }
 
-void addFleet(Page &To, const FleetStanding &Fleet, const RuleSetPtr &Rules) {
+void addFleet(Page &To, const FleetStatus &Fleet, const RuleSetPtr &Rules) {
   To.gauge("balsamlatch_rules_version",
            "Version of the rules in force; 0: none.",
            Rules == nullptr ? 0 : real(Rules->Version.Value));
@@ -141,7 +141,7 @@
            real(Fleet.LedgerVersion));
   To.gauge("balsamlatch_controller_leads",
            "1 if this entry's controller holds the lease.",
-           Fleet.Leads ? 1 : 0);
+           Fleet.IsLeader ? 1 : 0);
   if (Fleet.Ledger == nullptr || Rules == nullptr) {
     return;
   }
@@ -162,15 +162,15 @@
   }
 }
 
-void addShell(Page &To, const ShellCounters &Counts) {
+void addShell(Page &To, const DaemonCounters &Counts) {
   MetricFamily &Refused =
       To.family(MetricType::Counter, "balsamlatch_refused_total",
                 "Calls refused before the engine saw them, by reason.");
   Page::add(Refused, {{"reason", "malformed"}}, real(Counts.RefusedMalformed));
-  Page::add(Refused, {{"reason", "queue-full"}}, real(Counts.RefusedFull));
+  Page::add(Refused, {{"reason", "queue-full"}}, real(Counts.RefusedQueueFull));
   To.counter("balsamlatch_callers_gone_total",
              "Callers that hung up before their answer.",
-             real(Counts.CallerGone));
+             real(Counts.AbandonedRequests));
   To.counter("balsamlatch_store_calls_total",
              "Calls to the store, waiting watches included.",
              real(Counts.StoreCalls));
@@ -196,16 +196,16 @@
             real(Counts.ClaimsUnavailable));
 }
 
-void addRings(Page &To, const RingStandings &Rings) {
+void addRings(Page &To, const RingStatuses &Rings) {
   MetricFamily &Fill = To.family(MetricType::Gauge, "balsamlatch_ring_items",
                                  "Items that wait in a ring between threads.");
-  for (const RingStanding &Ring : Rings) {
+  for (const RingStatus &Ring : Rings) {
     Page::add(Fill, {{"ring", std::string(Ring.Name)}}, real(Ring.Fill));
   }
   MetricFamily &Refused =
       To.family(MetricType::Counter, "balsamlatch_ring_refusals_total",
                 "Items that a full ring refused.");
-  for (const RingStanding &Ring : Rings) {
+  for (const RingStatus &Ring : Rings) {
     Page::add(Refused, {{"ring", std::string(Ring.Name)}}, real(Ring.Refusals));
   }
 }
@@ -241,17 +241,17 @@
 
 } // namespace
 
-std::string metricsPage(const Board &Shown, const RingStandings &Rings) {
+std::string metricsPage(const DaemonStatus &Status, const RingStatuses &Rings) {
   Page All;
-  const ServingStanding Serving = Shown.Serving.get();
+  const EngineStatus Serving = Status.Engine.get();
   addServing(All, Serving);
   addPools(All, Serving);
-  addFleet(All, Shown.Fleet.get(), Shown.Rules.get());
-  addShell(All, Shown.Counters);
+  addFleet(All, Status.Fleet.get(), Status.Rules.get());
+  addShell(All, Status.Counters);
   addRings(All, Rings);
   addProcess(All);
   All.gauge("balsamlatch_ready", "1 if the entry takes requests.",
-            Shown.Ready ? 1 : 0);
+            Status.IsReady ? 1 : 0);
   return All.text();
 }
 
--- a/Source/Daemon/Settings.cpp
+++ b/Source/Daemon/Settings.cpp
@@ -73,7 +73,7 @@
   return absl::OkStatus();
 }
 
-absl::Status setPeers(std::vector<KnownPeer> &Into, std::string_view Value) {
+absl::Status setSeedPeers(std::vector<SeedPeer> &Into, std::string_view Value) {
   while (!Value.empty()) {
     const std::size_t Comma = Value.find(',');
     const std::string_view One = trim(Value.substr(0, Comma));
@@ -82,7 +82,7 @@
       return absl::InvalidArgumentError(
           fmt::format("'{}' is not entry@address", One));
     }
-    KnownPeer Peer;
+    SeedPeer Peer;
     if (absl::Status Read = setName(Peer.Entry.Text, One.substr(0, At));
         !Read.ok()) {
       return Read;
@@ -163,21 +163,21 @@
       {"entry", "data-centre", true, "bern",
        into(&Settings::DataCentre, &DataCentreName::Text, setName)},
       {"listen", "callers", true, "127.0.0.1:8080",
-       into(&Settings::Callers, setAddress)},
+       into(&Settings::CallerAddress, setAddress)},
       {"listen", "peers", true, "127.0.0.1:8081",
-       into(&Settings::Peers, setAddress)},
+       into(&Settings::PeerAddress, setAddress)},
       {"listen", "operators", true, "127.0.0.1:8082",
-       into(&Settings::Operators, setAddress)},
+       into(&Settings::OperatorAddress, setAddress)},
       {"platform", "store", true, "127.0.0.1:7001",
-       into(&Settings::Store, setAddress)},
+       into(&Settings::StoreAddress, setAddress)},
       {"platform", "host-list", true, "127.0.0.1:7002",
-       into(&Settings::HostList, setAddress)},
+       into(&Settings::HostListAddress, setAddress)},
       {"peers", "entries", false,
        "entry-2@127.0.0.1:8181, entry-3@127.0.0.1:8281",
-       into(&Settings::KnownPeers, setPeers)},
+       into(&Settings::SeedPeers, setSeedPeers)},
       {"peers", "secret-file", true, "/etc/balsamlatch/peer.secret",
-       into(&Settings::PeerSecretFile, setText)},
-      {"log", "level", false, "info", into(&Settings::LowestLevel, setLevel)},
+       into(&Settings::PeerSecretPath, setText)},
+      {"log", "level", false, "info", into(&Settings::MinLogLevel, setLevel)},
       {"log", "lines-per-reason", false, "200",
        into(&Settings::LogLinesPerReason, setCount<unsigned>)},
       {"tls", "certificate", false, "/etc/balsamlatch/entry.pem",
@@ -187,20 +187,24 @@
       {"tls", "authority", false, "/etc/balsamlatch/authority.pem",
        into(&Settings::Tls, &TlsSettings::AuthorityFile, setText)},
       {"limits", "body-bytes", false, "1000000",
-       into(&Settings::Bounds, &Limits::BodyBytes, setCount<std::size_t>)},
+       into(&Settings::ResourceLimits, &Limits::BodyBytes,
+            setCount<std::size_t>)},
       {"limits", "connections", false, "4096",
-       into(&Settings::Bounds, &Limits::Connections, setCount<std::size_t>)},
+       into(&Settings::ResourceLimits, &Limits::Connections,
+            setCount<std::size_t>)},
       {"limits", "open-requests", false, "20000",
-       into(&Settings::Bounds, &Limits::OpenRequests, setCount<std::size_t>)},
+       into(&Settings::ResourceLimits, &Limits::OpenRequests,
+            setCount<std::size_t>)},
       {"limits", "queued-per-pool", false, "20000",
-       into(&Settings::Bounds, &Limits::QueuedPerPool, setCount<std::size_t>)},
+       into(&Settings::ResourceLimits, &Limits::QueuedPerPool,
+            setCount<std::size_t>)},
       {"limits", "explained-decisions", false, "20000",
-       into(&Settings::Bounds, &Limits::ExplainedDecisions,
+       into(&Settings::ResourceLimits, &Limits::HistoryDecisions,
             setCount<std::size_t>)},
       {"limits", "stop-grace", false, "2s",
-       into(&Settings::Bounds, &Limits::StopGrace, setDuration)},
+       into(&Settings::ResourceLimits, &Limits::StopGracePeriod, setDuration)},
       {"limits", "stop-wait", false, "60s",
-       into(&Settings::Bounds, &Limits::StopWait, setDuration)},
+       into(&Settings::ResourceLimits, &Limits::DrainTimeout, setDuration)},
   };
   return Table;
 }
@@ -215,7 +219,7 @@
   SettingsReader(std::string_view Name, std::string_view Text)
       : File(Name), Rest(Text) {}
 
-  ParsedSettings parse() {
+  SettingsParseResult parse() {
     ini_parse_stream(readLine, this, takePair, this);
     checkWhole();
     return std::move(Result);
@@ -314,7 +318,7 @@
       reportUnknown(Section, Name);
       return;
     }
-    if (const absl::Status Set = Found->Set(Result.Values, Value); !Set.ok()) {
+    if (const absl::Status Set = Found->Set(Result.Config, Value); !Set.ok()) {
       report(valueColumn(),
              fmt::format("{}: {}", Name, std::string(Set.message())),
              fmt::format("write for example `{} = {}`", Name, Found->Example));
@@ -333,7 +337,7 @@
              "copy it from the output of `balsamlatch keygen`");
       return;
     }
-    Result.Values.GenesisOwners[OwnerName(Owner)] = std::string(Value);
+    Result.Config.GenesisOwners[OwnerName(Owner)] = std::string(Value);
   }
 
   void reportUnknown(std::string_view Section, std::string_view Name) {
@@ -367,7 +371,7 @@
       }
     }
     constexpr std::size_t OwnersNeeded = 2;
-    const auto &Owners = Result.Values.GenesisOwners;
+    const auto &Owners = Result.Config.GenesisOwners;
     if (Owners.size() != OwnersNeeded) {
       reportAtEnd(
           fmt::format("[owners] names {} owners, not two", Owners.size()),
@@ -376,7 +380,7 @@
       reportAtEnd("[owners] gives both owners the same key",
                   "each co-owner needs a key of their own");
     }
-    const TlsSettings &Tls = Result.Values.Tls;
+    const TlsSettings &Tls = Result.Config.Tls;
     if (Tls.CertificateFile.empty() != Tls.PrivateKeyFile.empty()) {
       reportAtEnd("[tls] certificate and private-key belong together",
                   "set both or none");
@@ -419,12 +423,13 @@
   std::string_view Line;
   unsigned LineNumber = 0;
   std::set<std::pair<std::string, std::string>> Seen;
-  ParsedSettings Result;
+  SettingsParseResult Result;
 };
 
 } // namespace
 
-ParsedSettings parseSettings(std::string_view File, std::string_view Text) {
+SettingsParseResult parseSettings(std::string_view File,
+                                  std::string_view Text) {
   return SettingsReader(File, Text).parse();
 }
 
--- a/Source/Daemon/StatusPage.cpp
+++ b/Source/Daemon/StatusPage.cpp
@@ -21,7 +21,7 @@
                      (Time - Seconds).count());
 }
 
-boost::json::object identity(const Identity &Self) {
+boost::json::object identity(const EntryIdentity &Self) {
   return {{"entry", Self.Entry.Text},
           {"region", Self.Region},
           {"data_centre", Self.DataCentre.Text}};
@@ -32,7 +32,7 @@
   std::uint32_t Away = 0;
 };
 
-std::map<PoolName, PoolCount> countHosts(const FleetStanding &Fleet) {
+std::map<PoolName, PoolCount> countHosts(const FleetStatus &Fleet) {
   std::map<PoolName, PoolCount> Counts;
   if (Fleet.Ledger != nullptr) {
     for (const auto &[Host, Record] : Fleet.Ledger->Hosts) {
@@ -44,8 +44,8 @@
   return Counts;
 }
 
-boost::json::array pools(const ServingStanding &Serving,
-                         const FleetStanding &Fleet, const RuleSetPtr &Rules) {
+boost::json::array pools(const EngineStatus &Serving, const FleetStatus &Fleet,
+                         const RuleSetPtr &Rules) {
   const std::map<PoolName, PoolCount> Counts = countHosts(Fleet);
   boost::json::array All;
   for (const placement::PoolStanding &Pool : Serving.Pools) {
@@ -68,33 +68,33 @@
 
 boost::json::object host(const HostName &Name,
                          const fleet::HostRecord &Record) {
-  boost::json::object Shown{{"host", Name.Text},
-                            {"pool", Record.Pool.Text},
-                            {"state", fleet::stateCode(Record.State)},
-                            {"rack", Record.Rack.Text},
-                            {"data_centre", Record.DataCentre.Text},
-                            {"state_version", Record.StateVersion}};
+  boost::json::object Object{{"host", Name.Text},
+                             {"pool", Record.Pool.Text},
+                             {"state", fleet::stateCode(Record.State)},
+                             {"rack", Record.Rack.Text},
+                             {"data_centre", Record.DataCentre.Text},
+                             {"state_version", Record.StateVersion}};
   if (Record.InHand.Kind != fleet::OperationKind::None) {
-    Shown["operation"] = Record.InHand.Id;
-    Shown["cause"] = Record.InHand.Cause;
-    Shown["since"] = timeText(Record.InHand.Since);
+    Object["operation"] = Record.InHand.Id;
+    Object["cause"] = Record.InHand.Cause;
+    Object["since"] = timeText(Record.InHand.Since);
     if (!Record.InHand.Target.empty()) {
-      Shown["target"] = Record.InHand.Target.Text;
+      Object["target"] = Record.InHand.Target.Text;
     }
   }
   if (Record.LastMaintained != WallTime{}) {
-    Shown["last_maintained"] = timeText(Record.LastMaintained);
+    Object["last_maintained"] = timeText(Record.LastMaintained);
   }
-  return Shown;
+  return Object;
 }
 
-boost::json::object ledger(const FleetStanding &Fleet, bool WithHosts) {
-  boost::json::object Shown{{"version", Fleet.LedgerVersion},
-                            {"listing", Fleet.ListingGeneration}};
+boost::json::object ledger(const FleetStatus &Fleet, bool WithHosts) {
+  boost::json::object Object{{"version", Fleet.LedgerVersion},
+                             {"listing", Fleet.ListingGeneration}};
   if (Fleet.Ledger == nullptr) {
-    return Shown;
+    return Object;
   }
-  Shown["halted_by"] = Fleet.Ledger->HaltedBy;
+  Object["halted_by"] = Fleet.Ledger->HaltedBy;
   boost::json::object States;
   boost::json::array Hosts;
   for (const auto &[Name, Record] : Fleet.Ledger->Hosts) {
@@ -104,16 +104,16 @@
       Hosts.push_back(host(Name, Record));
     }
   }
-  Shown["states"] = std::move(States);
+  Object["states"] = std::move(States);
   if (WithHosts) {
-    Shown["hosts"] = std::move(Hosts);
+    Object["hosts"] = std::move(Hosts);
   }
-  return Shown;
+  return Object;
 }
 
-boost::json::array peers(const Board &Shown) {
+boost::json::array peers(const DaemonStatus &Status) {
   boost::json::array All;
-  for (const PeerStanding &Peer : Shown.Peers.get()) {
+  for (const PeerStatus &Peer : Status.Peers.get()) {
     All.push_back({{"entry", Peer.Entry.Text},
                    {"state", Peer.State},
                    {"rules_document", Peer.Rules.Value},
@@ -153,42 +153,42 @@
 
 } // namespace
 
-std::string statusPage(const Identity &Self, const Board &Shown,
+std::string statusPage(const EntryIdentity &Self, const DaemonStatus &Status,
                        bool WithHosts) {
-  const ServingStanding Serving = Shown.Serving.get();
-  const FleetStanding Fleet = Shown.Fleet.get();
-  const RuleSetPtr Rules = Shown.Rules.get();
+  const EngineStatus Serving = Status.Engine.get();
+  const FleetStatus Fleet = Status.Fleet.get();
+  const RuleSetPtr Rules = Status.Rules.get();
   boost::json::object Page = identity(Self);
   Page["embedded"] = Self.Embedded;
-  Page["ready"] = Shown.Ready.load();
-  Page["stopping"] = Shown.Stopping.load();
+  Page["ready"] = Status.IsReady.load();
+  Page["stopping"] = Status.IsStopping.load();
   Page["rules"] = Rules == nullptr ? 0 : Rules->Version.Value;
   Page["ledger"] = ledger(Fleet, WithHosts);
-  Page["leads"] = Fleet.Leads;
+  Page["leads"] = Fleet.IsLeader;
   Page["open_requests"] = Serving.OpenRequests;
   Page["open_attempts"] = Serving.OpenAttempts;
   Page["ended"] = {{"answered", Serving.Counters.Answered},
                    {"not_run", Serving.Counters.NotRun},
                    {"unknown", Serving.Counters.Unknown}};
   Page["pools"] = pools(Serving, Fleet, Rules);
-  Page["entries"] = peers(Shown);
+  Page["entries"] = peers(Status);
   return boost::json::serialize(Page);
 }
 
-std::string explainPage(const Identity &Self, const Board &Shown,
+std::string explainPage(const EntryIdentity &Self, const DaemonStatus &Status,
                         std::string_view Subject,
                         const std::vector<Decision> &Decisions) {
   boost::json::object Page = identity(Self);
   Page["subject"] = Subject;
-  const FleetStanding Fleet = Shown.Fleet.get();
+  const FleetStatus Fleet = Status.Fleet.get();
   if (Fleet.Ledger != nullptr) {
     const auto Known = Fleet.Ledger->Hosts.find(HostName(std::string(Subject)));
     if (Known != Fleet.Ledger->Hosts.end()) {
       Page["host"] = host(Known->first, Known->second);
     }
   }
-  const RuleSetPtr Rules = Shown.Rules.get();
-  const auto Text = Shown.RulesText.get();
+  const RuleSetPtr Rules = Status.Rules.get();
+  const auto Text = Status.RulesText.get();
   boost::json::array Told;
   for (const Decision &Made : Decisions) {
     Told.push_back(decision(Made, Rules, Text));
--- a/Source/Daemon/balsamlatchd.cpp
+++ b/Source/Daemon/balsamlatchd.cpp
@@ -43,7 +43,7 @@
 }
 
 /// The arguments, or the code to exit with.
-std::variant<Arguments, ExitCode> parseArguments(int Count, char **Values) {
+std::variant<Arguments, ExitCode> parseArguments(int Argc, char **Argv) {
   cxxopts::Options Options("balsamlatchd",
                            "Serves callers and keeps the fleet in order.");
   Options.add_options()("config", "settings file (INI)",
@@ -53,7 +53,7 @@
       "carry stand-ins of the platform in this process, for a first try")(
       "help", "print this help");
   try {
-    const cxxopts::ParseResult Parsed = Options.parse(Count, Values);
+    const cxxopts::ParseResult Parsed = Options.parse(Argc, Argv);
     if (Parsed.count("help") > 0) {
       fmt::print("{}", Options.help());
       return ExitDone;
@@ -84,20 +84,20 @@
                std::string(Text.status().message()));
     return ExitUsage;
   }
-  daemon::ParsedSettings Parsed =
+  daemon::SettingsParseResult Parsed =
       daemon::parseSettings(Given.ConfigFile, *Text);
   if (Parsed.Problems.hasErrors()) {
     fmt::print(stderr, "{}", Parsed.Problems.render());
     return ExitUsage;
   }
   daemon::DaemonOptions Options;
-  Options.Values = std::move(Parsed.Values);
-  absl::StatusOr<std::string> Secret = readFile(Options.Values.PeerSecretFile);
+  Options.Config = std::move(Parsed.Config);
+  absl::StatusOr<std::string> Secret = readFile(Options.Config.PeerSecretPath);
   if (!Secret.ok() || Secret->size() < wire::LeastSecretBytes) {
     fmt::print(stderr,
                "balsamlatchd: {}: the peer secret must be a file of at least "
                "{} bytes\n",
-               Options.Values.PeerSecretFile, wire::LeastSecretBytes);
+               Options.Config.PeerSecretPath, wire::LeastSecretBytes);
     return ExitUsage;
   }
   Options.PeerSecret = *std::move(Secret);
@@ -107,7 +107,7 @@
 int serve(daemon::DaemonOptions Options) {
   const SystemClock Time;
   Log Lines(Time, stderr,
-            {Options.Values.LowestLevel, Options.Values.LogLinesPerReason});
+            {Options.Config.MinLogLevel, Options.Config.LogLinesPerReason});
   daemon::Daemon Entry(std::move(Options), Time, Lines);
   // Signals are taken from before the start, so that none is missed.
   boost::asio::io_context Signals;
@@ -133,32 +133,32 @@
   constexpr std::uint16_t CallersPort = 8080;
   constexpr std::uint16_t PeersPort = 8081;
   constexpr std::uint16_t OperatorsPort = 8082;
-  absl::StatusOr<daemon::OwnerPair> Owners = daemon::newOwners();
+  absl::StatusOr<daemon::OwnerKeyPairs> Owners = daemon::generateOwnerKeys();
   if (!Owners.ok()) {
     fmt::print(stderr, "balsamlatchd: {}\n",
                std::string(Owners.status().message()));
     return ExitFailed;
   }
-  const std::string Rules = daemon::firstRules(*Owners);
+  const std::string Rules = daemon::embeddedRules(*Owners);
   const SystemClock Time;
-  daemon::EmbeddedPlatform Platform(Time, daemon::firstPlatform(),
+  daemon::EmbeddedPlatform Platform(Time, daemon::embeddedPlatformOptions(),
                                     *std::move(Owners));
   if (const absl::Status Started = Platform.start(Rules); !Started.ok()) {
     fmt::print(stderr, "balsamlatchd: {}\n", std::string(Started.message()));
     return ExitFailed;
   }
   daemon::DaemonOptions Options = Platform.entryOptions("embedded");
-  Options.Values.Callers.Port = CallersPort;
-  Options.Values.Peers.Port = PeersPort;
-  Options.Values.Operators.Port = OperatorsPort;
+  Options.Config.CallerAddress.Port = CallersPort;
+  Options.Config.PeerAddress.Port = PeersPort;
+  Options.Config.OperatorAddress.Port = OperatorsPort;
   return serve(std::move(Options));
 }
 
 } // namespace
 
-int main(int Count, char **Values) {
+int main(int Argc, char **Argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  const auto Given = parseArguments(Count, Values);
+  const auto Given = parseArguments(Argc, Argv);
   if (const auto *Code = std::get_if<ExitCode>(&Given)) {
     return *Code;
   }
--- a/Source/Daemon/include/balsamlatch/Daemon/CallerMessages.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/CallerMessages.h
@@ -17,15 +17,16 @@
 /// identifier, or the response that refuses the call; a refused call did not
 /// run.
 std::variant<placement::Request, http::Response>
-readCall(const http::Request &Message);
+parseRequest(const http::Request &Message);
 
 /// The response for a request's end. \p Body is the whole answer when the
 /// outcome is Answered.
-http::Response wordEnd(const placement::FinishRequest &End, std::string Body);
+http::Response makeResponse(const placement::FinishRequest &End,
+                            std::string Body);
 
 /// A refusal that was made before the engine saw the request.
-http::Response refuse(unsigned Status, std::string_view Reason,
-                      std::string_view Message);
+http::Response makeRejection(unsigned Status, std::string_view Reason,
+                             std::string_view Message);
 
 } // namespace balsamlatch::daemon
 
--- a/Source/Daemon/include/balsamlatch/Daemon/Daemon.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/Daemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// The daemon as a whole: its threads, what joins them, and its graceful stop.
+/// The daemon process: its threads, their connections and graceful shutdown.
 
 #ifndef BALSAMLATCH_DAEMON_DAEMON_H
 #define BALSAMLATCH_DAEMON_DAEMON_H
@@ -16,42 +16,45 @@
 namespace balsamlatch::daemon {
 
 struct DaemonOptions {
-  Settings Values;
+  Settings Config;
   std::string PeerSecret;
-  /// The stand-ins of the platform run in this process; only shown.
+  /// Whether the simulated platform runs in this process. Shown on the status
+  /// page; has no other effect.
   bool Embedded = false;
 };
 
-/// One entry. Runs these threads: network (callers and workers), decisions,
-/// fleet, store client, control (peers and operators).
+/// One entry of the region. Runs these threads: network (callers and workers),
+/// decisions (placement engine), fleet (controller and rules), store (platform
+/// client) and control (peers and operators).
 class Daemon {
 public:
   Daemon(DaemonOptions Options, const Clock &TimeSource, LogSink &Sink);
   ~Daemon();
 
-  /// Binds all addresses and starts the threads. Errors name the address.
+  /// Binds all addresses and starts the threads. An error names the address
+  /// that could not be bound.
   absl::Status start();
 
-  /// \name Bound ports, after start()
+  /// \name Bound ports, valid after start()
   /// @{
   std::uint16_t callersPort() const;
   std::uint16_t peersPort() const;
   std::uint16_t operatorsPort() const;
   /// @}
 
-  /// Whether rules and workers are known, so that requests can be served.
-  bool ready() const;
+  /// Whether rules and a host ledger are loaded and the daemon isn't stopping.
+  bool isReady() const;
 
-  /// Begins the graceful stop. Thread safe; returns at once.
+  /// Starts a graceful shutdown and returns immediately. Thread safe.
   void requestStop();
 
-  /// Waits for requestStop(), then until no request is in flight, and ends all
-  /// threads. True: every request in flight got its answer.
+  /// Waits for requestStop(), drains the open requests and stops all threads.
+  /// Returns true if every open request was answered.
   bool wait();
 
 private:
   class Impl;
-  std::unique_ptr<Impl> Self;
+  std::unique_ptr<Impl> Pimpl;
 };
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/include/balsamlatch/Daemon/Board.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DaemonStatus.h
@@ -1,9 +1,9 @@
 /// \file
-/// What the threads of the daemon publish about themselves, for the
-/// operators' pages. Each part is replaced as a whole.
+/// Status that the threads of the daemon publish for the status and metrics
+/// pages. Each part is replaced as a whole.
 
-#ifndef BALSAMLATCH_DAEMON_BOARD_H
-#define BALSAMLATCH_DAEMON_BOARD_H
+#ifndef BALSAMLATCH_DAEMON_DAEMONSTATUS_H
+#define BALSAMLATCH_DAEMON_DAEMONSTATUS_H
 
 #include "balsamlatch/Base/Clock.h"
 #include "balsamlatch/Base/Ids.h"
@@ -20,7 +20,7 @@
 
 namespace balsamlatch::daemon {
 
-/// A value that one thread replaces and others read. Thread safe.
+/// A value that one thread writes and others read as a copy. Thread safe.
 template <typename T> class Published {
 public:
   void set(T Value) {
@@ -38,38 +38,39 @@
   T Current{};
 };
 
-/// The decisions thread's part.
-struct ServingStanding {
+/// Published by the decision thread.
+struct EngineStatus {
   std::vector<placement::PoolStanding> Pools;
   placement::EngineCounters Counters;
   std::size_t OpenRequests = 0;
   std::size_t OpenAttempts = 0;
 };
 
-/// The fleet thread's part.
-struct FleetStanding {
+/// Published by the fleet thread.
+struct FleetStatus {
   std::shared_ptr<const fleet::Ledger> Ledger;
   std::uint64_t LedgerVersion = 0;
-  bool Leads = false;
+  bool IsLeader = false;
   std::uint64_t ListingGeneration = 0;
-  std::size_t ListedWorkers = 0;
+  std::size_t UsableWorkers = 0;
 };
 
-/// Another entry, as this one knows it.
-struct PeerStanding {
+/// A live entry as seen by this one, which is itself among them.
+struct PeerStatus {
   EntryName Entry;
   std::string State;
   RulesVersion Rules;
   std::uint64_t LedgerVersion = 0;
 };
 
-/// Counts of the shell. Never decrease.
-struct ShellCounters {
+/// Event counters of the daemon outside the placement engine. They never
+/// decrease.
+struct DaemonCounters {
   std::atomic<std::uint64_t> RefusedMalformed = 0;
-  std::atomic<std::uint64_t> RefusedFull = 0;
+  std::atomic<std::uint64_t> RefusedQueueFull = 0;
   std::atomic<std::uint64_t> RefusedUnknownJob = 0;
   std::atomic<std::uint64_t> LateAnswers = 0;
-  std::atomic<std::uint64_t> CallerGone = 0;
+  std::atomic<std::uint64_t> AbandonedRequests = 0;
   std::atomic<std::uint64_t> StoreCalls = 0;
   std::atomic<std::uint64_t> StoreFaults = 0;
   std::atomic<std::uint64_t> HostOrders = 0;
@@ -81,21 +82,21 @@
   std::atomic<std::uint64_t> ClaimsUnavailable = 0;
 };
 
-struct Board {
-  Published<ServingStanding> Serving;
-  Published<FleetStanding> Fleet;
-  Published<std::vector<PeerStanding>> Peers;
+struct DaemonStatus {
+  Published<EngineStatus> Engine;
+  Published<FleetStatus> Fleet;
+  Published<std::vector<PeerStatus>> Peers;
   Published<RuleSetPtr> Rules;
-  /// Text of the rules in force, and the base document for peers; null before
-  /// the first rules.
+  /// Text of the active rules, and the base document that peers may request.
+  /// Null before the first rules are loaded.
   Published<std::shared_ptr<const std::string>> RulesText;
   Published<std::shared_ptr<const std::string>> RulesBase;
-  ShellCounters Counters;
-  /// Callers may be sent here by the balancer.
-  std::atomic<bool> Ready = false;
-  std::atomic<bool> Stopping = false;
+  DaemonCounters Counters;
+  /// Whether the load balancer may route callers to this entry.
+  std::atomic<bool> IsReady = false;
+  std::atomic<bool> IsStopping = false;
 };
 
 } // namespace balsamlatch::daemon
 
-#endif // BALSAMLATCH_DAEMON_BOARD_H
+#endif // BALSAMLATCH_DAEMON_DAEMONSTATUS_H
--- a/Source/Daemon/include/balsamlatch/Daemon/DecisionMemory.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DecisionHistory.h
@@ -2,8 +2,8 @@
 /// The latest decisions of this entry, kept in bounded memory so that
 /// operators can ask why something happened.
 
-#ifndef BALSAMLATCH_DAEMON_DECISIONMEMORY_H
-#define BALSAMLATCH_DAEMON_DECISIONMEMORY_H
+#ifndef BALSAMLATCH_DAEMON_DECISIONHISTORY_H
+#define BALSAMLATCH_DAEMON_DECISIONHISTORY_H
 
 #include "balsamlatch/Base/Clock.h"
 #include "balsamlatch/Base/Ids.h"
@@ -35,9 +35,9 @@
 };
 
 /// Thread safe.
-class DecisionMemory {
+class DecisionHistory {
 public:
-  explicit DecisionMemory(std::size_t Capacity);
+  explicit DecisionHistory(std::size_t Capacity);
 
   /// Keeps a decision; the oldest one goes when the memory is full.
   void add(Decision Made);
@@ -55,4 +55,4 @@
 
 } // namespace balsamlatch::daemon
 
-#endif // BALSAMLATCH_DAEMON_DECISIONMEMORY_H
+#endif // BALSAMLATCH_DAEMON_DECISIONHISTORY_H
--- a/Source/Daemon/include/balsamlatch/Daemon/DecisionThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DecisionThread.h
@@ -1,5 +1,5 @@
 /// \file
-/// The thread that owns the placement engine.
+/// The decision thread, which runs the placement engine.
 
 #ifndef BALSAMLATCH_DAEMON_DECISIONTHREAD_H
 #define BALSAMLATCH_DAEMON_DECISIONTHREAD_H
@@ -7,8 +7,8 @@
 #include "balsamlatch/Base/Clock.h"
 #include "balsamlatch/Base/Log.h"
 #include "balsamlatch/Base/Ring.h"
-#include "balsamlatch/Daemon/Board.h"
-#include "balsamlatch/Daemon/DecisionMemory.h"
+#include "balsamlatch/Daemon/DaemonStatus.h"
+#include "balsamlatch/Daemon/DecisionHistory.h"
 #include "balsamlatch/Membership/Documents.h"
 #include "balsamlatch/Placement/Engine.h"
 
@@ -23,49 +23,49 @@
 
 using DocumentPtr = std::shared_ptr<const membership::Document>;
 
-/// An event for the engine. InForce, if set, is a document of rules or ledger
-/// that is in force once the event is handled.
+/// Input of the decision thread. \c ActivatedDocument, if set, is a rules or
+/// ledger document that takes effect once the event is handled.
 struct DecisionInput {
-  std::optional<placement::Event> Happened;
-  DocumentPtr InForce;
+  std::optional<placement::Event> Event;
+  DocumentPtr ActivatedDocument;
 };
 
-/// What the network thread has to carry out, in order, and the documents that
-/// are in force for this entry once that is done.
+/// Actions that the network thread executes in order, and the documents that
+/// take effect in this entry once it has done so.
 struct NetworkBatch {
   std::vector<placement::Action> Actions;
-  std::vector<DocumentPtr> InForce;
+  std::vector<DocumentPtr> ActivatedDocuments;
 };
 
-/// Where the engine's actions go. Called on the decisions thread.
-struct DecisionOutlets {
-  /// May wait for room; never refuses while the daemon runs.
-  std::function<void(NetworkBatch)> Network;
-  /// False: the claim could not be handed over; it settles as unavailable.
-  std::function<bool(placement::ClaimKey)> Claim;
-  /// A request that asked for a claim ended. Lossy: the claim then lasts to its
-  /// end.
+/// Receivers of the engine's actions. Called on the decision thread.
+struct DecisionCallbacks {
+  /// Blocks while the queue is full; never fails while the daemon runs.
+  std::function<void(NetworkBatch)> PostToNetwork;
+  /// Returns false if the queue is full; the claim then settles as unavailable.
+  std::function<bool(placement::ClaimKey)> RequestClaim;
+  /// A request that asked for a claim ended. The notice may be dropped; the
+  /// claim is then held until it expires.
   std::function<void(RequestId, placement::Outcome)> ClaimEnded;
-  /// Lossy: a slot message that can't be handed over is dropped.
-  std::function<void(placement::SendSlotMessage)> Peer;
+  /// Drops the slot message if the queue is full.
+  std::function<void(placement::SendSlotMessage)> SendToPeer;
 };
 
 class DecisionThread {
 public:
   DecisionThread(placement::EngineOptions Options, const Clock &TimeSource,
-                 LogSink &Sink, DecisionMemory &Memory, Board &Shown,
-                 DecisionOutlets Outlets);
+                 LogSink &Sink, DecisionHistory &History, DaemonStatus &Status,
+                 DecisionCallbacks Callbacks);
   ~DecisionThread();
 
   void start();
-  /// Handles what is in the ring, then ends the thread.
+  /// Handles the events left in the queue, then joins the thread.
   void stop();
 
-  /// Hands an event over unless the ring is full. Thread safe.
+  /// Queues an event; returns false if the queue is full. Thread safe.
   bool tryPush(DecisionInput Input) { return Inbox.tryPush(std::move(Input)); }
 
-  /// Hands an event over, waiting for room. Not for the network thread, for
-  /// which this thread waits. Thread safe.
+  /// Queues an event; blocks while the queue is full. Thread safe, but must not
+  /// be called on the network thread, which this thread may block on.
   void push(DecisionInput Input) { Inbox.push(std::move(Input)); }
 
   std::size_t ringFill() const { return Inbox.size(); }
@@ -74,26 +74,27 @@
 private:
   void run();
   void handle(const DecisionInput &Input, NetworkBatch &Batch);
-  void handle(const placement::Event &Happened, NetworkBatch &Batch);
-  void dispatch(placement::Action Wanted, NetworkBatch &Batch);
-  void record(placement::LogDecision Line);
+  void handle(const placement::Event &Event, NetworkBatch &Batch);
+  void executeAction(placement::Action Action, NetworkBatch &Batch);
+  void logDecision(placement::LogDecision LogEntry);
   void flush(NetworkBatch &Batch);
-  void publish();
+  void publishStatus();
 
   placement::Engine Engine;
   const Clock &TimeSource;
   LogSink &Sink;
-  DecisionMemory &Memory;
-  Board &Shown;
-  DecisionOutlets Outlets;
+  DecisionHistory &History;
+  DaemonStatus &Status;
+  DecisionCallbacks Callbacks;
   Ring<DecisionInput> Inbox;
-  RulesVersion Rules;
+  RulesVersion ActiveRules;
   std::uint64_t LedgerVersion = 0;
   // Open requests that asked for a claim.
-  std::unordered_set<RequestId> Claimed;
-  // Claims that could not be handed over, settled after the batch at hand.
+  std::unordered_set<RequestId> ClaimedRequests;
+  // Requests whose claim could not be queued; settled as unavailable after the
+  // current event.
   std::vector<RequestId> FailedClaims;
-  std::thread Runner;
+  std::thread Thread;
 };
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/include/balsamlatch/Daemon/Embedded.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/Embedded.h
@@ -19,23 +19,23 @@
 namespace balsamlatch::daemon {
 
 /// Keys of the two owners of the built-in rules.
-struct OwnerPair {
+struct OwnerKeyPairs {
   PrivateKey First;
   PrivateKey Second;
 };
 
 /// Two new keys.
-absl::StatusOr<OwnerPair> newOwners();
+absl::StatusOr<OwnerKeyPairs> generateOwnerKeys();
 
 /// The rules of a first try, with these owners.
-std::string firstRules(const OwnerPair &Owners);
+std::string embeddedRules(const OwnerKeyPairs &Owners);
 
 class EmbeddedPlatform {
 public:
   /// A pool's hosts, their number and where they stand, are those of
   /// firstRules().
   EmbeddedPlatform(const Clock &TimeSource, const standin::Options &Options,
-                   OwnerPair Owners);
+                   OwnerKeyPairs Owners);
   ~EmbeddedPlatform();
 
   /// Starts the stand-ins and writes the first version of \p RulesText, signed
@@ -51,15 +51,15 @@
   /// Settings of an entry on loopback that uses the stand-ins, after start().
   DaemonOptions entryOptions(const std::string &Entry) const;
 
-  const OwnerPair &owners() const;
+  const OwnerKeyPairs &owners() const;
 
 private:
   class Impl;
-  std::unique_ptr<Impl> Self;
+  std::unique_ptr<Impl> Pimpl;
 };
 
 /// Options for the stand-ins that fit firstRules().
-standin::Options firstPlatform();
+standin::Options embeddedPlatformOptions();
 
 } // namespace balsamlatch::daemon
 
--- a/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
@@ -1,7 +1,6 @@
 /// \file
-/// The thread that owns what the whole fleet shares: the controller and the
-/// adoption of rules. It tells the engine which rules are in force and which
-/// workers it may use.
+/// The fleet thread, which runs the maintenance controller and the adoption of
+/// new rules. It sends the active rules and the usable workers to the engine.
 
 #ifndef BALSAMLATCH_DAEMON_FLEETTHREAD_H
 #define BALSAMLATCH_DAEMON_FLEETTHREAD_H
@@ -9,8 +8,8 @@
 #include "balsamlatch/Base/Clock.h"
 #include "balsamlatch/Base/Log.h"
 #include "balsamlatch/Base/Ring.h"
-#include "balsamlatch/Daemon/Board.h"
-#include "balsamlatch/Daemon/DecisionMemory.h"
+#include "balsamlatch/Daemon/DaemonStatus.h"
+#include "balsamlatch/Daemon/DecisionHistory.h"
 #include "balsamlatch/Daemon/DecisionThread.h"
 #include "balsamlatch/Fleet/Controller.h"
 #include "balsamlatch/Rules/Adoption.h"
@@ -24,82 +23,81 @@
 
 namespace balsamlatch::daemon {
 
-/// An event for the controller or for the adoption of rules.
+/// Input of the fleet thread: an event for the controller or for the rules
+/// adoption.
 using FleetInput = std::variant<fleet::FleetEvent, AdoptionEvent>;
 
-/// Where actions go. Called on the fleet thread.
-struct FleetOutlets {
-  std::function<void(fleet::SubmitToStore)> Store;
-  /// Replies come back as balsamlatch::StoreReplied.
-  std::function<void(StoreRequest)> RulesStore;
-  std::function<void()> PullBase;
-  std::function<void(fleet::GiveOrder)> Order;
-  std::function<void(HostName, Address)> AskWorker;
-  std::function<void(fleet::AnswerOperator)> Answer;
-  /// May wait for room.
-  std::function<void(DecisionInput)> Engine;
+/// Receivers of the actions. Called on the fleet thread.
+struct FleetCallbacks {
+  std::function<void(fleet::SubmitToStore)> SubmitControllerRequest;
+  /// The reply is pushed to the fleet thread as balsamlatch::StoreReplied.
+  std::function<void(StoreRequest)> SubmitRulesRequest;
+  std::function<void()> PullBaseDocument;
+  std::function<void(fleet::GiveOrder)> SendHostOrder;
+  std::function<void(HostName, Address)> RequestWorkerReport;
+  std::function<void(fleet::AnswerOperator)> ReplyToOperator;
+  /// Blocks while the engine's queue is full.
+  std::function<void(DecisionInput)> PushToEngine;
 };
 
 class FleetThread {
 public:
   FleetThread(const fleet::ControllerOptions &Options,
               AdoptionOptions RulesOptions, const Clock &TimeSource,
-              LogSink &Sink, DecisionMemory &Memory, Board &Shown,
-              FleetOutlets Outlets);
+              LogSink &Sink, DecisionHistory &History, DaemonStatus &Status,
+              FleetCallbacks Callbacks);
   ~FleetThread();
 
   void start();
   void stop();
 
-  /// Hands an event over unless the ring is full. Thread safe.
-  bool tryPush(FleetInput Happened) {
-    return Inbox.tryPush(std::move(Happened));
-  }
+  /// Queues an event; returns false if the queue is full. Thread safe.
+  bool tryPush(FleetInput Input) { return Inbox.tryPush(std::move(Input)); }
 
   std::size_t ringFill() const { return Inbox.size(); }
   std::uint64_t ringRefusals() const { return Inbox.refusals(); }
 
 private:
   void run();
-  void handle(const FleetInput &Happened);
-  void handle(const fleet::FleetEvent &Happened);
-  void carryOut(std::vector<AdoptionAction> Actions);
-  void note(const fleet::FleetEvent &Happened);
-  void dispatch(fleet::FleetAction Wanted);
-  void record(fleet::LogFleetDecision Line);
-  void report(AdoptionReport Line);
-  void takeRules(RuleSetPtr InForce);
-  void askNextWorkers();
+  void handle(const FleetInput &Input);
+  void handle(const fleet::FleetEvent &Event);
+  void execute(std::vector<AdoptionAction> Actions);
+  void updateInventory(const fleet::FleetEvent &Event);
+  void executeAction(fleet::FleetAction Action);
+  void logDecision(fleet::LogFleetDecision LogEntry);
+  void logAdoptionReport(AdoptionReport Report);
+  void activateRules(RuleSetPtr NewRules);
+  void requestWorkerReports();
   void updateWorkers();
-  void publish();
+  void publishStatus();
 
   fleet::Controller Controller;
-  Adoption Rules;
+  Adoption RulesAdoption;
   const std::string LedgerKey;
   const Clock &TimeSource;
   LogSink &Sink;
-  DecisionMemory &Memory;
-  Board &Shown;
-  FleetOutlets Outlets;
+  DecisionHistory &History;
+  DaemonStatus &Status;
+  FleetCallbacks Callbacks;
   Ring<FleetInput> Inbox;
 
   HostListing Listing;
-  // Slots by the workers' own reports.
-  std::map<HostName, std::uint32_t> Slots;
-  RulesVersion InForce;
-  // What the engine was last told.
-  std::vector<placement::WorkerView> ToldWorkers;
-  std::uint64_t ToldLedgerVersion = 0;
-  // Next worker to be asked for a report.
-  std::size_t NextAsked = 0;
-  std::thread Runner;
+  // Number of slots that each worker reported.
+  std::map<HostName, std::uint32_t> SlotsByHost;
+  RulesVersion ActiveRulesVersion;
+  // Workers and ledger version last sent to the engine.
+  std::vector<placement::WorkerView> EngineWorkers;
+  std::uint64_t EngineLedgerVersion = 0;
+  // Counter that selects the next worker to ask for a report.
+  std::size_t NextReportIndex = 0;
+  std::thread Thread;
 };
 
-/// The workers that an entry may use: those of the listing that the ledger
-/// places in a pool. Without a ledger there are none.
+/// Returns the workers that an entry may use, sorted: those in the host listing
+/// that the ledger assigns to a pool. An empty ledger yields none.
 std::vector<placement::WorkerView>
 usableWorkers(const fleet::Ledger &Ledger, const HostListing &Listing,
-              const std::map<HostName, std::uint32_t> &Slots);
+              const std::map<HostName, std::uint32_t> &SlotsByHost);
 
 } // namespace balsamlatch::daemon
 
--- a/Source/Daemon/include/balsamlatch/Daemon/MetricsPage.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/MetricsPage.h
@@ -4,7 +4,7 @@
 #ifndef BALSAMLATCH_DAEMON_METRICSPAGE_H
 #define BALSAMLATCH_DAEMON_METRICSPAGE_H
 
-#include "balsamlatch/Daemon/Board.h"
+#include "balsamlatch/Daemon/DaemonStatus.h"
 
 #include <cstdint>
 #include <string>
@@ -14,16 +14,16 @@
 namespace balsamlatch::daemon {
 
 /// Fill and refusals of one ring that joins two threads.
-struct RingStanding {
+struct RingStatus {
   std::string_view Name;
   std::size_t Fill = 0;
   std::uint64_t Refusals = 0;
 };
-using RingStandings = std::vector<RingStanding>;
+using RingStatuses = std::vector<RingStatus>;
 
 /// The body of /metrics, in the text format of Prometheus. Labels are pools,
 /// outcomes, entries and ring names only.
-std::string metricsPage(const Board &Shown, const RingStandings &Rings);
+std::string metricsPage(const DaemonStatus &Status, const RingStatuses &Rings);
 
 } // namespace balsamlatch::daemon
 
--- a/Source/Daemon/include/balsamlatch/Daemon/Settings.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/Settings.h
@@ -28,12 +28,12 @@
   std::size_t OpenRequests = 20'000;
   std::size_t QueuedPerPool = 20'000;
   /// Decisions kept for explain.
-  std::size_t ExplainedDecisions = 20'000;
+  std::size_t HistoryDecisions = 20'000;
   /// After SIGTERM: how long new requests are still taken, so that the
   /// balancer can see that the entry is no longer ready.
-  Duration StopGrace = std::chrono::seconds(2);
+  Duration StopGracePeriod = std::chrono::seconds(2);
   /// After the grace: how long requests in flight may take to end.
-  Duration StopWait = std::chrono::seconds(60);
+  Duration DrainTimeout = std::chrono::seconds(60);
 
   auto operator<=>(const Limits &) const = default;
 };
@@ -48,11 +48,11 @@
 };
 
 /// Another entry that this one asks first.
-struct KnownPeer {
+struct SeedPeer {
   EntryName Entry;
   Address At;
 
-  auto operator<=>(const KnownPeer &) const = default;
+  auto operator<=>(const SeedPeer &) const = default;
 };
 
 /// Immutable once read.
@@ -60,34 +60,34 @@
   EntryName Entry;
   std::string Region = "region";
   DataCentreName DataCentre;
-  Address Callers{"127.0.0.1", 0};
-  Address Peers{"127.0.0.1", 0};
-  Address Operators{"127.0.0.1", 0};
-  Address Store;
-  Address HostList;
+  Address CallerAddress{"127.0.0.1", 0};
+  Address PeerAddress{"127.0.0.1", 0};
+  Address OperatorAddress{"127.0.0.1", 0};
+  Address StoreAddress;
+  Address HostListAddress;
   /// Entries to start with; more are learnt from the host list.
-  std::vector<KnownPeer> KnownPeers;
+  std::vector<SeedPeer> SeedPeers;
   /// File with the secret that peers share, at least 32 bytes.
-  std::string PeerSecretFile;
+  std::string PeerSecretPath;
   /// The owners that sign the first rules: name and 64 hexadecimal digits of
   /// the public key.
   std::map<OwnerName, std::string> GenesisOwners;
-  LogLevel LowestLevel = LogLevel::Info;
+  LogLevel MinLogLevel = LogLevel::Info;
   unsigned LogLinesPerReason = 200;
   TlsSettings Tls;
-  Limits Bounds;
+  Limits ResourceLimits;
 
   bool operator==(const Settings &) const = default;
 };
 
-struct ParsedSettings {
+struct SettingsParseResult {
   /// To be used only without errors.
-  Settings Values;
+  Settings Config;
   Findings Problems;
 };
 
 /// Parses a whole settings text. \p File names it in the findings.
-ParsedSettings parseSettings(std::string_view File, std::string_view Text);
+SettingsParseResult parseSettings(std::string_view File, std::string_view Text);
 
 } // namespace balsamlatch::daemon
 
--- a/Source/Daemon/include/balsamlatch/Daemon/StatusPage.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/StatusPage.h
@@ -5,8 +5,8 @@
 #define BALSAMLATCH_DAEMON_STATUSPAGE_H
 
 #include "balsamlatch/Base/Ids.h"
-#include "balsamlatch/Daemon/Board.h"
-#include "balsamlatch/Daemon/DecisionMemory.h"
+#include "balsamlatch/Daemon/DaemonStatus.h"
+#include "balsamlatch/Daemon/DecisionHistory.h"
 
 #include <string>
 #include <string_view>
@@ -15,7 +15,7 @@
 namespace balsamlatch::daemon {
 
 /// Who this entry is.
-struct Identity {
+struct EntryIdentity {
   EntryName Entry;
   std::string Region;
   DataCentreName DataCentre;
@@ -24,11 +24,11 @@
 };
 
 /// The body of /v1/status; with the hosts of the ledger if asked for.
-std::string statusPage(const Identity &Self, const Board &Shown,
+std::string statusPage(const EntryIdentity &Self, const DaemonStatus &Status,
                        bool WithHosts);
 
 /// The body of /v1/explain/<subject>.
-std::string explainPage(const Identity &Self, const Board &Shown,
+std::string explainPage(const EntryIdentity &Self, const DaemonStatus &Status,
                         std::string_view Subject,
                         const std::vector<Decision> &Decisions);
 
--- a/Tests/Daemon/FleetTest.cpp
+++ b/Tests/Daemon/FleetTest.cpp
@@ -63,7 +63,7 @@
 BOOST_AUTO_TEST_SUITE(Fleet)
 
 BOOST_AUTO_TEST_CASE(MaintenanceUnderLoadLosesNoRequest) {
-  standin::Options Options = daemon::firstPlatform();
+  standin::Options Options = daemon::embeddedPlatformOptions();
   Options.RebootTime = std::chrono::milliseconds(200);
   const Site Place(Options);
   Entry One(Place.options("one"), Place.clock());
@@ -89,7 +89,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(ADrainBeyondTheBudgetIsRefusedWithItsReason) {
-  standin::Options Options = daemon::firstPlatform();
+  standin::Options Options = daemon::embeddedPlatformOptions();
   // The first host stays away.
   Options.RebootTime = std::chrono::hours(1);
   const Site Place(Options);
@@ -141,7 +141,7 @@
   const Site Place;
   Entry One(Place.options("one"), Place.clock());
   daemon::DaemonOptions Options = Place.options("two");
-  Options.Values.KnownPeers = {
+  Options.Config.SeedPeers = {
       {EntryName("one"), Address{"127.0.0.1", One->peersPort()}}};
   Entry Two(Options, Place.clock());
   const auto Sees = [](const Entry &At, std::size_t Count) {
--- a/Tests/Daemon/Harness.cpp
+++ b/Tests/Daemon/Harness.cpp
@@ -46,7 +46,7 @@
 }
 
 Entry::Entry(DaemonOptions Options, const Clock &Time)
-    : TimeSource(Time), Name(Options.Values.Entry.Text),
+    : TimeSource(Time), Name(Options.Config.Entry.Text),
       Process(std::make_unique<Daemon>(std::move(Options), Time, Sink)) {
   const absl::Status Started = Process->start();
   BOOST_REQUIRE_MESSAGE(Started.ok(), std::string(Started.message()));
@@ -103,13 +103,13 @@
 }
 
 void Entry::waitReady() const {
-  waitUntil([this] { return Process->ready(); });
+  waitUntil([this] { return Process->isReady(); });
 }
 
 Site::Site(const standin::Options &Options) {
-  absl::StatusOr<OwnerPair> Owners = newOwners();
+  absl::StatusOr<OwnerKeyPairs> Owners = generateOwnerKeys();
   BOOST_REQUIRE(Owners.ok());
-  const std::string Rules = firstRules(*Owners);
+  const std::string Rules = embeddedRules(*Owners);
   Platform = std::make_unique<EmbeddedPlatform>(TimeSource, Options,
                                                 *std::move(Owners));
   const absl::Status Started = Platform->start(Rules);
@@ -118,7 +118,7 @@
 
 DaemonOptions Site::options(const std::string &Name) const {
   DaemonOptions Options = Platform->entryOptions(Name);
-  Options.Values.Bounds.StopGrace = Duration::zero();
+  Options.Config.ResourceLimits.StopGracePeriod = Duration::zero();
   return Options;
 }
 
--- a/Tests/Daemon/Harness.h
+++ b/Tests/Daemon/Harness.h
@@ -62,7 +62,7 @@
 class Site {
 public:
   /// \p RulesText empty: firstRules().
-  explicit Site(const standin::Options &Options = firstPlatform());
+  explicit Site(const standin::Options &Options = embeddedPlatformOptions());
 
   const Clock &clock() const { return TimeSource; }
   DaemonOptions options(const std::string &Name) const;
@@ -74,7 +74,7 @@
   std::vector<boost::json::object> history(std::string_view Event,
                                            std::string_view Id) const;
 
-  const OwnerPair &owners() const { return Platform->owners(); }
+  const OwnerKeyPairs &owners() const { return Platform->owners(); }
 
 private:
   SystemClock TimeSource;
--- a/Tests/Daemon/ServingTest.cpp
+++ b/Tests/Daemon/ServingTest.cpp
@@ -54,7 +54,7 @@
 BOOST_AUTO_TEST_CASE(BadCallsAreRefusedAsNotRun) {
   const Site Place;
   daemon::DaemonOptions Options = Place.options("one");
-  Options.Values.Bounds.BodyBytes = 1000;
+  Options.Config.ResourceLimits.BodyBytes = 1000;
   Entry One(Options, Place.clock());
   One.waitReady();
   const auto Check = [](const http::Response &Answer, unsigned Status) {
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(AFullEntryRefusesWithAHintWhenToComeBack) {
   const Site Place;
   daemon::DaemonOptions Options = Place.options("one");
-  Options.Values.Bounds.OpenRequests = 1;
+  Options.Config.ResourceLimits.OpenRequests = 1;
   Entry One(Options, Place.clock());
   One.waitReady();
   auto Long = One.askLater("dispatch-truck", R"({"run_ms":200000,"id":"long"})",
--- a/Tests/Daemon/StopTest.cpp
+++ b/Tests/Daemon/StopTest.cpp
@@ -29,7 +29,7 @@
   for (auto &Call : Calls) {
     BOOST_TEST(Call.get().Status == 200U);
   }
-  BOOST_TEST(!One->ready());
+  BOOST_TEST(!One->isReady());
 }
 
 BOOST_AUTO_TEST_CASE(ARestartedEntryServesAgain) {
