--- a/Source/Daemon/CallerMessages.cpp
+++ b/Source/Daemon/CallerMessages.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checks calls and words their ends.
+/// Parses and validates requests of callers and builds responses.
 
 #include "balsamlatch/Daemon/CallerMessages.h"
 
@@ -35,40 +35,40 @@
                      [](char C) { return C > ' ' && C <= '~'; });
 }
 
-/// Whether the text is one JSON value. The parser's depth bound holds.
+/// Returns whether the text is one JSON value within the parser's depth limit.
 bool isJson(std::string_view Text) {
   boost::json::monotonic_resource Memory;
   boost::json::stream_parser Parser(&Memory);
-  boost::system::error_code Fault;
-  Parser.write(Text.data(), Text.size(), Fault);
-  if (!Fault) {
-    Parser.finish(Fault);
+  boost::system::error_code Error;
+  Parser.write(Text.data(), Text.size(), Error);
+  if (!Error) {
+    Parser.finish(Error);
   }
-  return !Fault;
+  return !Error;
 }
 
-std::string digestOf(std::string_view Body) {
-  unsigned char Raw[SHA256_DIGEST_LENGTH];
+std::string sha256Hex(std::string_view Body) {
+  unsigned char Digest[SHA256_DIGEST_LENGTH];
   SHA256(reinterpret_cast<const unsigned char *>(Body.data()), Body.size(),
-         Raw);
+         Digest);
   std::string Text;
-  for (const unsigned char Byte : Raw) {
+  for (const unsigned char Byte : Digest) {
     Text += fmt::format("{:02x}", Byte);
   }
   return Text;
 }
 
-http::Response malformed(std::string_view Message) {
+http::Response malformedRequest(std::string_view Message) {
   return makeRejection(400, "malformed", Message);
 }
 
-unsigned statusOf(const placement::FinishRequest &End) {
+unsigned httpStatusFor(const placement::FinishRequest &Completion) {
   using placement::Outcome;
   using placement::Reason;
-  if (End.End == Outcome::Answered) {
+  if (Completion.End == Outcome::Answered) {
     return 200;
   }
-  switch (End.Why) {
+  switch (Completion.Why) {
   case Reason::DeadlinePassed:
   case Reason::DeadlineUnreachable:
     return 504;
@@ -80,12 +80,12 @@
   case Reason::ClaimTaken:
     return 409;
   default:
-    return End.End == Outcome::Unknown ? 502 : 503;
+    return Completion.End == Outcome::Unknown ? 502 : 503;
   }
 }
 
-std::string endBody(std::string_view Request, std::string_view Outcome,
-                    std::string_view Reason, std::string_view Message) {
+std::string outcomeBody(std::string_view Request, std::string_view Outcome,
+                        std::string_view Reason, std::string_view Message) {
   boost::json::object Body;
   if (!Request.empty()) {
     Body["request"] = Request;
@@ -107,77 +107,83 @@
     return makeRejection(404, "unknown-path", "call POST /v1/jobs/<job>");
   }
   if (Message.Method != "POST") {
-    http::Response Refusal =
+    http::Response Rejection =
         makeRejection(405, "unknown-method", "call POST /v1/jobs/<job>");
-    Refusal.Headers["allow"] = std::string("POST");
-    return Refusal;
+    Rejection.Headers["allow"] = std::string("POST");
+    return Rejection;
   }
-  placement::Request Asked;
-  Asked.Job = JobName(std::string(Path.substr(JobsPath.size())));
+  placement::Request Request;
+  Request.Job = JobName(std::string(Path.substr(JobsPath.size())));
   if (const std::string_view Team = Message.header("balsamlatch-team");
       !Team.empty()) {
     if (!isName(Team)) {
-      return malformed("Balsamlatch-Team is not a name");
+      return malformedRequest("Balsamlatch-Team is not a name");
     }
-    Asked.Team = TeamName(std::string(Team));
-  }
-  if (const std::string_view Left = Message.header("balsamlatch-deadline-ms");
-      !Left.empty()) {
-    const absl::StatusOr<std::uint64_t> Ms = parseNumber(Left);
-    if (!Ms.ok() || *Ms == 0 || *Ms > MaxDeadlineMs) {
-      return malformed(
+    Request.Team = TeamName(std::string(Team));
+  }
+  if (const std::string_view DeadlineText =
+          Message.header("balsamlatch-deadline-ms");
+      !DeadlineText.empty()) {
+    const absl::StatusOr<std::uint64_t> Milliseconds =
+        parseNumber(DeadlineText);
+    if (!Milliseconds.ok() || *Milliseconds == 0 ||
+        *Milliseconds > MaxDeadlineMs) {
+      return malformedRequest(
           "Balsamlatch-Deadline-Ms is not a number of milliseconds");
     }
-    Asked.TimeLeft = std::chrono::milliseconds(*Ms);
+    Request.TimeLeft = std::chrono::milliseconds(*Milliseconds);
   }
   const std::string_view Key = Message.header("idempotency-key");
   if (!isKey(Key)) {
-    return malformed("Idempotency-Key has at most 200 printable characters "
-                     "without blanks");
+    return malformedRequest(
+        "Idempotency-Key has at most 200 printable characters "
+        "without blanks");
   }
   if (!Message.Body.empty() && !isJson(Message.Body)) {
-    return malformed("the body is not JSON");
+    return malformedRequest("the body is not JSON");
   }
   if (!Key.empty()) {
-    Asked.IdempotencyKey = std::string(Key);
-    Asked.BodyDigest = digestOf(Message.Body);
+    Request.IdempotencyKey = std::string(Key);
+    Request.BodyDigest = sha256Hex(Message.Body);
   }
-  return Asked;
+  return Request;
 }
 
-http::Response makeResponse(const placement::FinishRequest &End,
+http::Response makeResponse(const placement::FinishRequest &Completion,
                             std::string Body) {
-  const char *Outcome = placement::outcomeCode(End.End);
-  const char *Reason = placement::reasonCode(End.Why);
-  if (End.End != placement::Outcome::Answered) {
-    Body = endBody(End.Id.Text, Outcome, Reason, {});
-  }
-  http::Response Answer = http::jsonResponse(statusOf(End), std::move(Body));
-  Answer.Headers["balsamlatch-request"] = End.Id.Text;
-  Answer.Headers["balsamlatch-outcome"] = Outcome;
-  Answer.Headers["balsamlatch-reason"] = Reason;
-  if (End.First) {
-    Answer.Headers["balsamlatch-first-outcome"] =
-        placement::outcomeCode(*End.First);
-  }
-  if (Answer.Status == 503 || End.RetryAfter > Duration::zero()) {
-    const auto Wait = std::chrono::ceil<std::chrono::seconds>(End.RetryAfter);
-    Answer.Headers["retry-after"] =
+  const char *Outcome = placement::outcomeCode(Completion.End);
+  const char *Reason = placement::reasonCode(Completion.Why);
+  if (Completion.End != placement::Outcome::Answered) {
+    Body = outcomeBody(Completion.Id.Text, Outcome, Reason, {});
+  }
+  http::Response Response =
+      http::jsonResponse(httpStatusFor(Completion), std::move(Body));
+  Response.Headers["balsamlatch-request"] = Completion.Id.Text;
+  Response.Headers["balsamlatch-outcome"] = Outcome;
+  Response.Headers["balsamlatch-reason"] = Reason;
+  if (Completion.First) {
+    Response.Headers["balsamlatch-first-outcome"] =
+        placement::outcomeCode(*Completion.First);
+  }
+  if (Response.Status == 503 || Completion.RetryAfter > Duration::zero()) {
+    const auto Wait =
+        std::chrono::ceil<std::chrono::seconds>(Completion.RetryAfter);
+    Response.Headers["retry-after"] =
         fmt::format("{}", std::max<std::int64_t>(1, Wait.count()));
   }
-  return Answer;
+  return Response;
 }
 
 http::Response makeRejection(unsigned Status, std::string_view Reason,
                              std::string_view Message) {
-  http::Response Answer =
-      http::jsonResponse(Status, endBody({}, "not-run", Reason, Message));
-  Answer.Headers["balsamlatch-outcome"] = "not-run";
-  Answer.Headers["balsamlatch-reason"] = std::string(Reason);
+  http::Response Response =
+      http::jsonResponse(Status, outcomeBody({}, "not-run", Reason, Message));
+  Response.Headers["balsamlatch-outcome"] = "not-run";
+  Response.Headers["balsamlatch-reason"] = std::string(Reason);
   if (Status == 503) {
-    Answer.Headers["retry-after"] = std::string("1");
+    Response.Headers["retry-after"] = std::string("1");
   }
-  return Answer;
+  return Response;
 }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/CallerServer.cpp
+++ b/Source/Daemon/CallerServer.cpp
@@ -36,7 +36,7 @@
 CallerServer::CallerServer(EventLoop &Loop, Options InitialConfig,
                            WorkerClient &Client, const Clock &Time,
                            DaemonStatus &SharedStatus, LogSink &LogOutput)
-    : Network(Loop), Config(std::move(InitialConfig)), Workers(Client),
+    : NetworkLoop(Loop), Config(std::move(InitialConfig)), Workers(Client),
       TimeSource(Time), Status(SharedStatus), Sink(LogOutput),
       Listener(
           Loop.context(), serverOptions(Config),
@@ -230,7 +230,7 @@
 void CallerServer::pushEvent(placement::Event Event) {
   if (!OverflowEvents.empty() || !PushToEngine(DecisionInput{Event, nullptr})) {
     if (OverflowEvents.empty()) {
-      Network.after(OverflowRetryDelay, [this] { flushOverflow(); });
+      NetworkLoop.after(OverflowRetryDelay, [this] { flushOverflow(); });
     }
     OverflowEvents.push_back(std::move(Event));
   }
@@ -242,7 +242,7 @@
     OverflowEvents.pop_front();
   }
   if (!OverflowEvents.empty()) {
-    Network.after(OverflowRetryDelay, [this] { flushOverflow(); });
+    NetworkLoop.after(OverflowRetryDelay, [this] { flushOverflow(); });
   }
 }
 
--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -136,9 +136,9 @@
   DaemonStatus Status;
   DecisionHistory History;
 
-  EventLoop Network;
+  EventLoop NetworkLoop;
   EventLoop StoreLoop;
-  EventLoop Control;
+  EventLoop ControlLoop;
 
   http::Client StoreHttpClient;
   http::Client WorkerHttpClient;
@@ -168,19 +168,19 @@
       Incarnation(incarnationAt(Time.wallNow())),
       History(Options.Config.ResourceLimits.HistoryDecisions),
       StoreHttpClient(StoreLoop.context(), http::ClientOptions()),
-      WorkerHttpClient(Network.context(), workerClientOptions()),
+      WorkerHttpClient(NetworkLoop.context(), workerClientOptions()),
       Backend(StoreHttpClient, Options.Config.StoreAddress),
       Platform(StoreHttpClient, Options.Config.HostListAddress),
       Workers(WorkerHttpClient), PlatformStore(StoreLoop, Backend, Status),
-      NetworkMailbox(Network, NetworkMailboxCapacity,
+      NetworkMailbox(NetworkLoop, NetworkMailboxCapacity,
                      [this](NetworkBatch Batch) {
                        CallerEndpoint.executeActions(std::move(Batch));
                      }),
-      PeerMailbox(Control, PeerMailboxCapacity,
+      PeerMailbox(ControlLoop, PeerMailboxCapacity,
                   [this](placement::SendSlotMessage Message) {
                     PeerEndpoint.send(std::move(Message));
                   }),
-      CallerEndpoint(Network,
+      CallerEndpoint(NetworkLoop,
                      {Options.Config.Entry, Incarnation,
                       Options.Config.CallerAddress, Options.Config.Tls,
                       Options.Config.ResourceLimits},
@@ -194,9 +194,9 @@
       Fleet(controllerOptions(Options.Config, Incarnation),
             adoptionOptions(Options.Config), Time, Sink, History, Status,
             fleetCallbacks()),
-      PeerEndpoint(Control, peerOptions(Options, Incarnation), Time, Status,
+      PeerEndpoint(ControlLoop, peerOptions(Options, Incarnation), Time, Status,
                    Sink, peerCallbacks()),
-      OperatorEndpoint(Control, Options.Config.OperatorAddress,
+      OperatorEndpoint(ControlLoop, Options.Config.OperatorAddress,
                        {Options.Config.Entry, Options.Config.Region,
                         Options.Config.DataCentre, Options.Embedded},
                        Time, History, Status, Sink),
@@ -251,7 +251,7 @@
     });
   };
   Callbacks.PullBaseDocument = [this] {
-    Control.post([this] { PeerEndpoint.pullBase(); });
+    ControlLoop.post([this] { PeerEndpoint.pullBase(); });
   };
   Callbacks.SendHostOrder = [this](fleet::GiveOrder Order) {
     StoreLoop.post([this, HostOrder = std::move(Order)] {
@@ -263,11 +263,11 @@
     });
   };
   Callbacks.RequestWorkerReport = [this](const HostName &Host,
-                                         const Address &At) {
-    requestWorkerReport(Host, At);
+                                         const Address &WorkerAddress) {
+    requestWorkerReport(Host, WorkerAddress);
   };
   Callbacks.ReplyToOperator = [this](fleet::AnswerOperator Answer) {
-    Control.post([this, Reply = std::move(Answer)] {
+    ControlLoop.post([this, Reply = std::move(Answer)] {
       OperatorEndpoint.handleAnswer(Reply);
     });
   };
@@ -283,7 +283,7 @@
     PlatformStore.submit(
         std::move(Call.Request),
         [this, Key = std::move(Call.Key)](const StoreReply &Reply) {
-          Control.post([this, Key, Reply] {
+          ControlLoop.post([this, Key, Reply] {
             PeerEndpoint.handleWatchReply(Key, Reply);
           });
         });
@@ -329,14 +329,14 @@
 }
 
 void Daemon::Impl::publishDocument(DocumentPtr Document) {
-  Control.post([this, Activated = std::move(Document)] {
+  ControlLoop.post([this, Activated = std::move(Document)] {
     PeerEndpoint.documentActivated(*Activated);
   });
 }
 
 void Daemon::Impl::requestWorkerReport(const HostName &Host,
                                        const Address &WorkerAddress) {
-  Network.post([this, Host, WorkerAddress] {
+  NetworkLoop.post([this, Host, WorkerAddress] {
     Workers.report(WorkerAddress, [this,
                                    Host](absl::StatusOr<WorkerReport> Report) {
       if (Report.ok()) {
@@ -354,7 +354,7 @@
 }
 
 void Daemon::Impl::handleHostListing(HostListing Listing) {
-  Control.post([this, Listing] { PeerEndpoint.addListedEntries(Listing); });
+  ControlLoop.post([this, Listing] { PeerEndpoint.addListedEntries(Listing); });
   Fleet.tryPush(fleet::FleetEvent(fleet::ListingSeen{std::move(Listing)}));
 }
 
@@ -368,10 +368,10 @@
   }
   Claims.start();
   HostPoller.start();
-  Control.every(ReadinessPeriod, [this] { updateReadiness(); });
-  Network.start();
+  ControlLoop.every(ReadinessPeriod, [this] { updateReadiness(); });
+  NetworkLoop.start();
   StoreLoop.start();
-  Control.start();
+  ControlLoop.start();
   Decisions.start();
   Fleet.start();
   Sink.write(LogLevel::Info, "entry-started",
@@ -408,7 +408,7 @@
              {{"open_requests", CallerEndpoint.openRequests()}});
   std::this_thread::sleep_for(Options.Config.ResourceLimits.StopGracePeriod);
   const bool AllAnswered = drain();
-  Control.post([this] { PeerEndpoint.leave(); });
+  ControlLoop.post([this] { PeerEndpoint.leave(); });
   std::this_thread::sleep_for(LeaveDelay);
   stopThreads();
   Sink.write(LogLevel::Info, "entry-stopped",
@@ -438,8 +438,8 @@
   Fleet.stop();
   Decisions.stop();
   StoreLoop.stop();
-  Control.stop();
-  Network.stop();
+  ControlLoop.stop();
+  NetworkLoop.stop();
 }
 
 Daemon::Daemon(DaemonOptions Options, const Clock &TimeSource, LogSink &Sink)
--- a/Source/Daemon/DecisionHistory.cpp
+++ b/Source/Daemon/DecisionHistory.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Bounded memory of decisions.
+/// Stores decisions in a ring buffer and searches them.
 
 #include "balsamlatch/Daemon/DecisionHistory.h"
 
@@ -9,41 +9,42 @@
 
 namespace {
 
-/// A long story is cut to its latest decisions.
-constexpr std::size_t MaxTold = 500;
-/// Latest decisions about requests that a host's story shows.
-constexpr std::size_t MaxRequestsTold = 20;
+/// Limit on the decisions returned for one subject.
+constexpr std::size_t MaxResults = 500;
+/// Limit on decisions about requests among those returned for a host.
+constexpr std::size_t MaxRequestResults = 20;
 
-bool namesHost(const Decision &Made, std::string_view Subject) {
-  const boost::json::value *Host = Made.Details.if_contains("host");
+bool namesHost(const Decision &Candidate, std::string_view Subject) {
+  const boost::json::value *Host = Candidate.Details.if_contains("host");
   return Host != nullptr && Host->is_string() && Host->get_string() == Subject;
 }
 
 } // namespace
 
-DecisionHistory::DecisionHistory(std::size_t Capacity) : Kept(Capacity) {}
+DecisionHistory::DecisionHistory(std::size_t Capacity) : Decisions(Capacity) {}
 
-void DecisionHistory::add(Decision Made) {
+void DecisionHistory::add(Decision NewDecision) {
   const std::lock_guard Guard(Lock);
-  Made.Sequence = NextSequence++;
-  Kept.push_back(std::move(Made));
+  NewDecision.Sequence = NextSequence++;
+  Decisions.push_back(std::move(NewDecision));
 }
 
-std::vector<Decision> DecisionHistory::about(std::string_view Subject) const {
-  std::vector<Decision> Found;
-  std::size_t Requests = 0;
+std::vector<Decision>
+DecisionHistory::decisionsFor(std::string_view Subject) const {
+  std::vector<Decision> Results;
+  std::size_t RequestResults = 0;
   const std::lock_guard Guard(Lock);
-  for (auto Made = Kept.rbegin(); Made != Kept.rend(); ++Made) {
-    if (Found.size() == MaxTold) {
+  for (auto It = Decisions.rbegin(); It != Decisions.rend(); ++It) {
+    if (Results.size() == MaxResults) {
       break;
     }
-    if (Made->Subject == Subject ||
-        (namesHost(*Made, Subject) && Requests++ < MaxRequestsTold)) {
-      Found.push_back(*Made);
+    if (It->Subject == Subject ||
+        (namesHost(*It, Subject) && RequestResults++ < MaxRequestResults)) {
+      Results.push_back(*It);
     }
   }
-  std::reverse(Found.begin(), Found.end());
-  return Found;
+  std::reverse(Results.begin(), Results.end());
+  return Results;
 }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/DecisionThread.cpp
+++ b/Source/Daemon/DecisionThread.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t InboxCapacity = 65'536;
 /// Number of actions at which a batch is sent to the network thread early.
-constexpr std::size_t MaxBatchActions = 256;
+constexpr std::size_t BatchFlushThreshold = 256;
 constexpr Duration PublishPeriod = std::chrono::milliseconds(200);
 
 LogLevel logLevelFor(placement::Reason Reason) {
@@ -89,7 +89,7 @@
     }
     Batch.ActivatedDocuments.push_back(Input.ActivatedDocument);
   }
-  if (Batch.Actions.size() >= MaxBatchActions) {
+  if (Batch.Actions.size() >= BatchFlushThreshold) {
     flush(Batch);
   }
 }
--- a/Source/Daemon/Embedded.cpp
+++ b/Source/Daemon/Embedded.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Starts the stand-ins in this process and seeds their store.
+/// Starts the simulated platform in this process and initializes its store.
 
 #include "balsamlatch/Daemon/Embedded.h"
 
@@ -35,21 +35,23 @@
 weigh moves 1 buffer 1 # both
 )";
 
-/// The peers' secret of a process that has no peers but those in its tests.
+/// Peer secret of an embedded entry, which has peers only in tests.
 constexpr std::string_view EmbeddedSecret =
     "embedded entries share this text, which is no secret";
-constexpr std::string_view FirstNonce = "00000000000000000000000000000000";
+constexpr std::string_view InitialNonce = "00000000000000000000000000000000";
 
-StoreReply callStore(Store &Backend, StoreRequest Request) {
-  std::promise<StoreReply> Answer;
-  Backend.submit(std::move(Request), [&Answer](StoreReply Reply) {
-    Answer.set_value(std::move(Reply));
+StoreReply submitAndWait(Store &Backend, StoreRequest Request) {
+  std::promise<StoreReply> ReplyPromise;
+  Backend.submit(std::move(Request), [&ReplyPromise](StoreReply Reply) {
+    ReplyPromise.set_value(std::move(Reply));
   });
-  return Answer.get_future().get();
+  return ReplyPromise.get_future().get();
 }
 
-absl::Status putNew(Store &Backend, std::string_view Key, std::string Value) {
-  return callStore(Backend, StoreSwap{std::string(Key), 0, std::move(Value)})
+absl::Status createValue(Store &Backend, std::string_view Key,
+                         std::string Value) {
+  return submitAndWait(Backend,
+                       StoreSwap{std::string(Key), 0, std::move(Value)})
       .Status;
 }
 
@@ -85,16 +87,16 @@
 
 class EmbeddedPlatform::Impl {
 public:
-  Impl(const Clock &Time, const standin::Options &Options, OwnerKeyPairs Pair)
-      : Owners(std::move(Pair)), Platform(Loop.context(), Time, Options) {}
+  Impl(const Clock &Time, const standin::Options &Options, OwnerKeyPairs Keys)
+      : Owners(std::move(Keys)), Platform(Loop.context(), Time, Options) {}
 
   absl::Status start(const std::string &RulesText) {
-    if (absl::Status Bound = Platform.start(); !Bound.ok()) {
-      return Bound;
+    if (absl::Status BindStatus = Platform.start(); !BindStatus.ok()) {
+      return BindStatus;
     }
     Loop.start();
     const absl::StatusOr<ChainView> Chain =
-        startChain(RulesText, RulesVersion(1), std::string(FirstNonce),
+        startChain(RulesText, RulesVersion(1), std::string(InitialNonce),
                    Owners.First, Owners.Second);
     if (!Chain.ok()) {
       return Chain.status();
@@ -103,12 +105,13 @@
     http::Client Caller(ClientLoop.context(), http::ClientOptions());
     HttpStore Backend(Caller, Address{"127.0.0.1", Platform.port()});
     ClientLoop.start();
-    absl::Status Put = putNew(Backend, BaseKey, printBase(Chain->Base));
-    if (Put.ok()) {
-      Put = putNew(Backend, HeadKey, printHead(Chain->Head));
+    absl::Status PutStatus =
+        createValue(Backend, BaseKey, printBase(Chain->Base));
+    if (PutStatus.ok()) {
+      PutStatus = createValue(Backend, HeadKey, printHead(Chain->Head));
     }
     ClientLoop.stop();
-    return Put;
+    return PutStatus;
   }
 
   void stop() {
--- a/Source/Daemon/MetricsPage.cpp
+++ b/Source/Daemon/MetricsPage.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Builds the metrics from what the threads publish.
+/// Builds the metrics page from the published status.
 
 #include "balsamlatch/Daemon/MetricsPage.h"
 
@@ -22,8 +22,8 @@
 using prometheus::MetricType;
 using Labels = std::vector<ClientMetric::Label>;
 
-/// Collects metric families.
-class Page {
+/// Collects metric families and serializes them in the Prometheus text format.
+class MetricsBuilder {
 public:
   MetricFamily &family(MetricType Type, std::string Name, std::string Help) {
     return Families.emplace_back(
@@ -31,23 +31,25 @@
   }
 
   void counter(std::string Name, std::string Help, double Value) {
-    add(family(MetricType::Counter, std::move(Name), std::move(Help)), {},
-        Value);
+    addMetric(family(MetricType::Counter, std::move(Name), std::move(Help)), {},
+              Value);
   }
 
   void gauge(std::string Name, std::string Help, double Value) {
-    add(family(MetricType::Gauge, std::move(Name), std::move(Help)), {}, Value);
+    addMetric(family(MetricType::Gauge, std::move(Name), std::move(Help)), {},
+              Value);
   }
 
-  static void add(MetricFamily &To, Labels With, double Value) {
+  static void addMetric(MetricFamily &Family, Labels MetricLabels,
+                        double Value) {
     ClientMetric Metric;
-    Metric.label = std::move(With);
-    if (To.type == MetricType::Counter) {
+    Metric.label = std::move(MetricLabels);
+    if (Family.type == MetricType::Counter) {
       Metric.counter.value = Value;
     } else {
       Metric.gauge.value = Value;
     }
-    To.metric.push_back(std::move(Metric));
+    Family.metric.push_back(std::move(Metric));
   }
 
   std::string text() const {
@@ -60,153 +62,177 @@
   std::vector<MetricFamily> Families;
 };
 
-double real(std::uint64_t Count) { return static_cast<double>(Count); }
+double toDouble(std::uint64_t Count) { return static_cast<double>(Count); }
 
-void addServing(Page &To, const EngineStatus &Serving) {
-  const placement::EngineCounters &Counts = Serving.Counters;
-  MetricFamily &Ends =
-      To.family(MetricType::Counter, "balsamlatch_requests_total",
-                "Requests that ended, by outcome.");
-  Page::add(Ends, {{"outcome", "answered"}}, real(Counts.Answered));
-  Page::add(Ends, {{"outcome", "not-run"}}, real(Counts.NotRun));
-  Page::add(Ends, {{"outcome", "unknown"}}, real(Counts.Unknown));
-  To.counter("balsamlatch_attempts_total", "Attempts started on workers.",
-             real(Counts.Attempts));
-  To.counter("balsamlatch_retries_total", "Attempts that repeated another.",
-             real(Counts.Retries));
-  To.counter("balsamlatch_hedges_total",
-             "Attempts started beside a slow one of the same request.",
-             real(Counts.Hedges));
-  To.counter("balsamlatch_spilled_total",
-             "Attempts started on a spare worker for another pool.",
-             real(Counts.Spilled));
-  To.counter("balsamlatch_late_answers_total",
-             "Answers dropped because their request had ended.",
-             real(Counts.LateAnswers));
-  To.gauge("balsamlatch_open_requests", "Requests without an answer.",
-           real(Serving.OpenRequests));
-  To.gauge("balsamlatch_open_attempts", "Attempts that may still run.",
-           real(Serving.OpenAttempts));
+void addEngineMetrics(MetricsBuilder &Builder, const EngineStatus &Engine) {
+  const placement::EngineCounters &Counters = Engine.Counters;
+  MetricFamily &Requests =
+      Builder.family(MetricType::Counter, "balsamlatch_requests_total",
+                     "Requests that ended, by outcome.");
+  MetricsBuilder::addMetric(Requests, {{"outcome", "answered"}},
+                            toDouble(Counters.Answered));
+  MetricsBuilder::addMetric(Requests, {{"outcome", "not-run"}},
+                            toDouble(Counters.NotRun));
+  MetricsBuilder::addMetric(Requests, {{"outcome", "unknown"}},
+                            toDouble(Counters.Unknown));
+  Builder.counter("balsamlatch_attempts_total", "Attempts started on workers.",
+                  toDouble(Counters.Attempts));
+  Builder.counter("balsamlatch_retries_total",
+                  "Attempts that repeated another.",
+                  toDouble(Counters.Retries));
+  Builder.counter("balsamlatch_hedges_total",
+                  "Attempts started beside a slow one of the same request.",
+                  toDouble(Counters.Hedges));
+  Builder.counter("balsamlatch_spilled_total",
+                  "Attempts started on a spare worker for another pool.",
+                  toDouble(Counters.Spilled));
+  Builder.counter("balsamlatch_late_answers_total",
+                  "Answers dropped because their request had ended.",
+                  toDouble(Counters.LateAnswers));
+  Builder.gauge("balsamlatch_open_requests", "Requests without an answer.",
+                toDouble(Engine.OpenRequests));
+  Builder.gauge("balsamlatch_open_attempts", "Attempts that may still run.",
+                toDouble(Engine.OpenAttempts));
 }
 
-void addPools(Page &To, const EngineStatus &Serving) {
+void addPoolMetrics(MetricsBuilder &Builder, const EngineStatus &Engine) {
   MetricFamily &Queued =
-      To.family(MetricType::Gauge, "balsamlatch_queued_requests",
-                "Requests that wait for a slot, by pool and class.");
-  for (const placement::PoolStanding &Pool : Serving.Pools) {
-    Page::add(Queued, {{"pool", Pool.Pool.Text}, {"class", "prompt"}},
-              Pool.QueuedPrompt);
-    Page::add(Queued, {{"pool", Pool.Pool.Text}, {"class", "patient"}},
-              Pool.QueuedPatient);
+      Builder.family(MetricType::Gauge, "balsamlatch_queued_requests",
+                     "Requests that wait for a slot, by pool and class.");
+  for (const placement::PoolStanding &Pool : Engine.Pools) {
+    MetricsBuilder::addMetric(Queued,
+                              {{"pool", Pool.Pool.Text}, {"class", "prompt"}},
+                              Pool.QueuedPrompt);
+    MetricsBuilder::addMetric(Queued,
+                              {{"pool", Pool.Pool.Text}, {"class", "patient"}},
+                              Pool.QueuedPatient);
   }
-  MetricFamily &InUse = To.family(MetricType::Gauge, "balsamlatch_slots_in_use",
-                                  "Slots that this entry uses, by pool.");
-  for (const placement::PoolStanding &Pool : Serving.Pools) {
-    Page::add(InUse, {{"pool", Pool.Pool.Text}}, Pool.SlotsInUse);
+  MetricFamily &InUse =
+      Builder.family(MetricType::Gauge, "balsamlatch_slots_in_use",
+                     "Slots that this entry uses, by pool.");
+  for (const placement::PoolStanding &Pool : Engine.Pools) {
+    MetricsBuilder::addMetric(InUse, {{"pool", Pool.Pool.Text}},
+                              Pool.SlotsInUse);
   }
-  MetricFamily &Total = To.family(MetricType::Gauge, "balsamlatch_slots",
-                                  "Slots of the accepting workers, by pool.");
-  for (const placement::PoolStanding &Pool : Serving.Pools) {
-    Page::add(Total, {{"pool", Pool.Pool.Text}}, Pool.SlotsTotal);
+  MetricFamily &Total =
+      Builder.family(MetricType::Gauge, "balsamlatch_slots",
+                     "Slots of the accepting workers, by pool.");
+  for (const placement::PoolStanding &Pool : Engine.Pools) {
+    MetricsBuilder::addMetric(Total, {{"pool", Pool.Pool.Text}},
+                              Pool.SlotsTotal);
   }
   MetricFamily &Ejected =
-      To.family(MetricType::Gauge, "balsamlatch_ejected_workers",
-                "Workers that get no work because they failed, by pool.");
-  for (const placement::PoolStanding &Pool : Serving.Pools) {
-    Page::add(Ejected, {{"pool", Pool.Pool.Text}}, Pool.Ejected);
+      Builder.family(MetricType::Gauge, "balsamlatch_ejected_workers",
+                     "Workers that get no work because they failed, by pool.");
+  for (const placement::PoolStanding &Pool : Engine.Pools) {
+    MetricsBuilder::addMetric(Ejected, {{"pool", Pool.Pool.Text}},
+                              Pool.Ejected);
   }
 }
 
-struct AwayCount {
-  std::uint32_t Members = 0;
+struct PoolHostCount {
+  std::uint32_t Hosts = 0;
   std::uint32_t Away = 0;
 };
 
-std::map<PoolName, AwayCount> countAway(const fleet::Ledger &Ledger) {
-  std::map<PoolName, AwayCount> Counts;
+std::map<PoolName, PoolHostCount> countHosts(const fleet::Ledger &Ledger) {
+  std::map<PoolName, PoolHostCount> Counters;
   for (const auto &[Host, Record] : Ledger.Hosts) {
-    AwayCount &Count = Counts[Record.Pool];
-    ++Count.Members;
+    PoolHostCount &Count = Counters[Record.Pool];
+    ++Count.Hosts;
     Count.Away += Record.away() ? 1 : 0;
   }
-  return Counts;
+  return Counters;
 }
 
-void addFleet(Page &To, const FleetStatus &Fleet, const RuleSetPtr &Rules) {
-  To.gauge("balsamlatch_rules_version",
-           "Version of the rules in force; 0: none.",
-           Rules == nullptr ? 0 : real(Rules->Version.Value));
-  To.gauge("balsamlatch_ledger_version",
-           "Version of the ledger that this entry acts on; 0: none.",
-           real(Fleet.LedgerVersion));
-  To.gauge("balsamlatch_controller_leads",
-           "1 if this entry's controller holds the lease.",
-           Fleet.IsLeader ? 1 : 0);
+void addFleetMetrics(MetricsBuilder &Builder, const FleetStatus &Fleet,
+                     const RuleSetPtr &Rules) {
+  Builder.gauge("balsamlatch_rules_version",
+                "Version of the rules in force; 0: none.",
+                Rules == nullptr ? 0 : toDouble(Rules->Version.Value));
+  Builder.gauge("balsamlatch_ledger_version",
+                "Version of the ledger that this entry acts on; 0: none.",
+                toDouble(Fleet.LedgerVersion));
+  Builder.gauge("balsamlatch_controller_leads",
+                "1 if this entry's controller holds the lease.",
+                Fleet.IsLeader ? 1 : 0);
   if (Fleet.Ledger == nullptr || Rules == nullptr) {
     return;
   }
-  const std::map<PoolName, AwayCount> Counts = countAway(*Fleet.Ledger);
-  MetricFamily &Away = To.family(MetricType::Gauge, "balsamlatch_hosts_away",
-                                 "Hosts that don't serve, by pool.");
-  for (const auto &[Pool, Count] : Counts) {
-    Page::add(Away, {{"pool", Pool.Text}}, Count.Away);
+  const std::map<PoolName, PoolHostCount> Counters = countHosts(*Fleet.Ledger);
+  MetricFamily &Away =
+      Builder.family(MetricType::Gauge, "balsamlatch_hosts_away",
+                     "Hosts that don't serve, by pool.");
+  for (const auto &[Pool, Count] : Counters) {
+    MetricsBuilder::addMetric(Away, {{"pool", Pool.Text}}, Count.Away);
   }
   MetricFamily &Allowed =
-      To.family(MetricType::Gauge, "balsamlatch_hosts_away_allowed",
-                "Hosts that may be away by the pool's budget.");
-  for (const auto &[Pool, Count] : Counts) {
+      Builder.family(MetricType::Gauge, "balsamlatch_hosts_away_allowed",
+                     "Hosts that may be away by the pool's budget.");
+  for (const auto &[Pool, Count] : Counters) {
     if (const PoolRule *Rule = Rules->pool(Pool)) {
-      Page::add(Allowed, {{"pool", Pool.Text}},
-                Rule->Away.allowed(Count.Members));
+      MetricsBuilder::addMetric(Allowed, {{"pool", Pool.Text}},
+                                Rule->Away.allowed(Count.Hosts));
     }
   }
 }
 
-void addShell(Page &To, const DaemonCounters &Counts) {
-  MetricFamily &Refused =
-      To.family(MetricType::Counter, "balsamlatch_refused_total",
-                "Calls refused before the engine saw them, by reason.");
-  Page::add(Refused, {{"reason", "malformed"}}, real(Counts.RefusedMalformed));
-  Page::add(Refused, {{"reason", "queue-full"}}, real(Counts.RefusedQueueFull));
-  To.counter("balsamlatch_callers_gone_total",
-             "Callers that hung up before their answer.",
-             real(Counts.AbandonedRequests));
-  To.counter("balsamlatch_store_calls_total",
-             "Calls to the store, waiting watches included.",
-             real(Counts.StoreCalls));
-  To.counter("balsamlatch_store_faults_total",
-             "Calls to the store that were not answered.",
-             real(Counts.StoreFaults));
-  To.counter("balsamlatch_host_orders_total",
-             "Orders given to hosts by the platform.", real(Counts.HostOrders));
+void addDaemonCounters(MetricsBuilder &Builder,
+                       const DaemonCounters &Counters) {
+  MetricFamily &Rejections =
+      Builder.family(MetricType::Counter, "balsamlatch_refused_total",
+                     "Calls refused before the engine saw them, by reason.");
+  MetricsBuilder::addMetric(Rejections, {{"reason", "malformed"}},
+                            toDouble(Counters.RefusedMalformed));
+  MetricsBuilder::addMetric(Rejections, {{"reason", "queue-full"}},
+                            toDouble(Counters.RefusedQueueFull));
+  Builder.counter("balsamlatch_callers_gone_total",
+                  "Callers that hung up before their answer.",
+                  toDouble(Counters.AbandonedRequests));
+  Builder.counter("balsamlatch_store_calls_total",
+                  "Calls to the store, waiting watches included.",
+                  toDouble(Counters.StoreCalls));
+  Builder.counter("balsamlatch_store_faults_total",
+                  "Calls to the store that were not answered.",
+                  toDouble(Counters.StoreFaults));
+  Builder.counter("balsamlatch_host_orders_total",
+                  "Orders given to hosts by the platform.",
+                  toDouble(Counters.HostOrders));
   MetricFamily &Bytes =
-      To.family(MetricType::Counter, "balsamlatch_peer_bytes_total",
-                "Bytes of messages between entries, by direction.");
-  Page::add(Bytes, {{"direction", "sent"}}, real(Counts.PeerBytesSent));
-  Page::add(Bytes, {{"direction", "received"}}, real(Counts.PeerBytesReceived));
-  To.counter("balsamlatch_peer_batches_refused_total",
-             "Batches of messages that failed the check of their seal.",
-             real(Counts.PeerBatchesRefused));
+      Builder.family(MetricType::Counter, "balsamlatch_peer_bytes_total",
+                     "Bytes of messages between entries, by direction.");
+  MetricsBuilder::addMetric(Bytes, {{"direction", "sent"}},
+                            toDouble(Counters.PeerBytesSent));
+  MetricsBuilder::addMetric(Bytes, {{"direction", "received"}},
+                            toDouble(Counters.PeerBytesReceived));
+  Builder.counter("balsamlatch_peer_batches_refused_total",
+                  "Batches of messages that failed the check of their seal.",
+                  toDouble(Counters.PeerBatchesRefused));
   MetricFamily &Claims =
-      To.family(MetricType::Counter, "balsamlatch_claims_total",
-                "Claims on idempotency keys, by result.");
-  Page::add(Claims, {{"result", "won"}}, real(Counts.ClaimsWon));
-  Page::add(Claims, {{"result", "taken"}}, real(Counts.ClaimsTaken));
-  Page::add(Claims, {{"result", "unavailable"}},
-            real(Counts.ClaimsUnavailable));
+      Builder.family(MetricType::Counter, "balsamlatch_claims_total",
+                     "Claims on idempotency keys, by result.");
+  MetricsBuilder::addMetric(Claims, {{"result", "won"}},
+                            toDouble(Counters.ClaimsWon));
+  MetricsBuilder::addMetric(Claims, {{"result", "taken"}},
+                            toDouble(Counters.ClaimsTaken));
+  MetricsBuilder::addMetric(Claims, {{"result", "unavailable"}},
+                            toDouble(Counters.ClaimsUnavailable));
 }
 
-void addRings(Page &To, const RingStatuses &Rings) {
-  MetricFamily &Fill = To.family(MetricType::Gauge, "balsamlatch_ring_items",
-                                 "Items that wait in a ring between threads.");
+void addRingMetrics(MetricsBuilder &Builder, const RingStatuses &Rings) {
+  MetricFamily &Fill =
+      Builder.family(MetricType::Gauge, "balsamlatch_ring_items",
+                     "Items that wait in a ring between threads.");
   for (const RingStatus &Ring : Rings) {
-    Page::add(Fill, {{"ring", std::string(Ring.Name)}}, real(Ring.Fill));
+    MetricsBuilder::addMetric(Fill, {{"ring", std::string(Ring.Name)}},
+                              toDouble(Ring.Fill));
   }
-  MetricFamily &Refused =
-      To.family(MetricType::Counter, "balsamlatch_ring_refusals_total",
-                "Items that a full ring refused.");
+  MetricFamily &Rejections =
+      Builder.family(MetricType::Counter, "balsamlatch_ring_refusals_total",
+                     "Items that a full ring refused.");
   for (const RingStatus &Ring : Rings) {
-    Page::add(Refused, {{"ring", std::string(Ring.Name)}}, real(Ring.Refusals));
+    MetricsBuilder::addMetric(Rejections, {{"ring", std::string(Ring.Name)}},
+                              toDouble(Ring.Refusals));
   }
 }
 
@@ -229,30 +255,30 @@
          static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-void addProcess(Page &To) {
+void addProcessMetrics(MetricsBuilder &Builder) {
   rusage Usage{};
   getrusage(RUSAGE_SELF, &Usage);
-  To.counter("process_cpu_seconds_total",
-             "Processor time of this process, in seconds.",
-             seconds(Usage.ru_utime) + seconds(Usage.ru_stime));
-  To.gauge("process_resident_memory_bytes",
-           "Resident memory of this process, in bytes.", residentBytes());
+  Builder.counter("process_cpu_seconds_total",
+                  "Processor time of this process, in seconds.",
+                  seconds(Usage.ru_utime) + seconds(Usage.ru_stime));
+  Builder.gauge("process_resident_memory_bytes",
+                "Resident memory of this process, in bytes.", residentBytes());
 }
 
 } // namespace
 
 std::string metricsPage(const DaemonStatus &Status, const RingStatuses &Rings) {
-  Page All;
-  const EngineStatus Serving = Status.Engine.get();
-  addServing(All, Serving);
-  addPools(All, Serving);
-  addFleet(All, Status.Fleet.get(), Status.Rules.get());
-  addShell(All, Status.Counters);
-  addRings(All, Rings);
-  addProcess(All);
-  All.gauge("balsamlatch_ready", "1 if the entry takes requests.",
-            Status.IsReady ? 1 : 0);
-  return All.text();
+  MetricsBuilder Builder;
+  const EngineStatus Engine = Status.Engine.get();
+  addEngineMetrics(Builder, Engine);
+  addPoolMetrics(Builder, Engine);
+  addFleetMetrics(Builder, Status.Fleet.get(), Status.Rules.get());
+  addDaemonCounters(Builder, Status.Counters);
+  addRingMetrics(Builder, Rings);
+  addProcessMetrics(Builder);
+  Builder.gauge("balsamlatch_ready", "1 if the entry takes requests.",
+                Status.IsReady ? 1 : 0);
+  return Builder.text();
 }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/OperatorServer.cpp
+++ b/Source/Daemon/OperatorServer.cpp
@@ -106,7 +106,7 @@
                                const DecisionHistory &SharedHistory,
                                const DaemonStatus &SharedStatus,
                                LogSink &LogOutput)
-    : Control(Loop), Identity(std::move(Entry)), Checker(Identity.Entry),
+    : ControlLoop(Loop), Identity(std::move(Entry)), Checker(Identity.Entry),
       TimeSource(Time), History(SharedHistory), Status(SharedStatus),
       Sink(LogOutput), Listener(Loop.context(), serverOptions(ListenAddress),
                                 [this](http::Exchange Call) {
@@ -121,7 +121,7 @@
 }
 
 absl::Status OperatorServer::start() {
-  Control.every(ExpirePeriod, [this] { expireOrders(); });
+  ControlLoop.every(ExpirePeriod, [this] { expireOrders(); });
   return Listener.start();
 }
 
@@ -159,8 +159,8 @@
   }
   if (Path.starts_with(ExplainPath)) {
     const std::string_view Subject = Path.substr(ExplainPath.size());
-    return http::jsonResponse(
-        200, explainPage(Identity, Status, Subject, History.about(Subject)));
+    return http::jsonResponse(200, explainPage(Identity, Status, Subject,
+                                               History.decisionsFor(Subject)));
   }
   return statusResponse(404, "unknown-path",
                         "see Help/command/balsamlatchd.md");
--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -25,10 +25,10 @@
 /// Fits a document of one megabyte after JSON escaping.
 constexpr std::size_t MaxBatchBytes = 4'000'000;
 
-http::ServerOptions serverOptions(const Address &At) {
+http::ServerOptions serverOptions(const Address &ListenAddress) {
   http::ServerOptions Options;
-  Options.Ip = At.Ip;
-  Options.Port = At.Port;
+  Options.Ip = ListenAddress.Ip;
+  Options.Port = ListenAddress.Port;
   Options.MaxBodyBytes = MaxBatchBytes;
   Options.MaxConnections = 1024;
   return Options;
@@ -46,7 +46,7 @@
 PeerService::PeerService(EventLoop &Loop, Options InitialConfig,
                          const Clock &Time, DaemonStatus &SharedStatus,
                          LogSink &LogOutput, PeerCallbacks InitialCallbacks)
-    : Control(Loop), Config(std::move(InitialConfig)), TimeSource(Time),
+    : ControlLoop(Loop), Config(std::move(InitialConfig)), TimeSource(Time),
       Status(SharedStatus), Sink(LogOutput),
       Callbacks(std::move(InitialCallbacks)),
       Listener(Loop.context(), serverOptions(Config.ListenAddress),
@@ -74,15 +74,15 @@
   ExchangeOptions.Self = Self;
   ExchangeOptions.Keys = {Config.RulesKey, Config.LedgerKey};
   Exchange.emplace(ExchangeOptions);
-  Control.post([this] {
+  ControlLoop.post([this] {
     std::vector<membership::Member> Seeds;
     for (const SeedPeer &Peer : Config.SeedPeers) {
-      Seeds.push_back({Peer.Entry, Peer.At, {}, 0, {}});
+      Seeds.push_back({Peer.Entry, Peer.PeerAddress, {}, 0, {}});
     }
     execute(Group->seed(Seeds, TimeSource.now()));
     handleViewChange();
   });
-  Control.every(TickPeriod, [this] { tick(); });
+  ControlLoop.every(TickPeriod, [this] { tick(); });
   return absl::OkStatus();
 }
 
@@ -217,9 +217,9 @@
     }
   }
   if (!Others.empty()) {
-    const auto &[Entry, At] = *Others[NextBasePeer++ % Others.size()];
+    const auto &[Entry, Destination] = *Others[NextBasePeer++ % Others.size()];
     enqueue(
-        Entry, At,
+        Entry, Destination,
         membership::Message(membership::DocumentPull{std::string(BaseKey), 0}));
   }
 }
@@ -267,7 +267,7 @@
   if (!PeerOutbox.IsSending) {
     PeerOutbox.IsSending = true;
     // Collects all messages of this event loop iteration into one batch.
-    Control.post([this, To] { sendNextBatch(To); });
+    ControlLoop.post([this, To] { sendNextBatch(To); });
   }
 }
 
--- a/Source/Daemon/Settings.cpp
+++ b/Source/Daemon/Settings.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Reads settings: inih splits the lines, a table of keys gives them meaning.
+/// Parses settings: inih splits the file into sections and pairs, and a table
+/// of keys defines how each value is parsed.
 
 #include "balsamlatch/Daemon/Settings.h"
 
@@ -18,33 +19,33 @@
 namespace {
 
 constexpr std::size_t PublicKeyDigits = 64;
-constexpr std::string_view Blanks = " \t\r";
+constexpr std::string_view Whitespace = " \t\r";
 
 std::string_view trim(std::string_view Text) {
-  const std::size_t First = Text.find_first_not_of(Blanks);
+  const std::size_t First = Text.find_first_not_of(Whitespace);
   if (First == std::string_view::npos) {
     return {};
   }
-  return Text.substr(First, Text.find_last_not_of(Blanks) - First + 1);
+  return Text.substr(First, Text.find_last_not_of(Whitespace) - First + 1);
 }
 
-/// Sets one key's value; the error says what is wrong with it.
+/// Parses a value and stores it in the settings, or returns why it is invalid.
 using Setter = std::function<absl::Status(Settings &, std::string_view)>;
 
-struct Key {
+struct SettingKey {
   std::string_view Section;
   std::string_view Name;
   bool Required;
-  /// What a value looks like, for the remedy.
+  /// A valid value, suggested in error messages.
   std::string_view Example;
   Setter Set;
 };
 
-absl::Status setText(std::string &Into, std::string_view Value) {
+absl::Status setText(std::string &Target, std::string_view Value) {
   if (Value.empty()) {
     return absl::InvalidArgumentError("the value is empty");
   }
-  Into = std::string(Value);
+  Target = std::string(Value);
   return absl::OkStatus();
 }
 
@@ -53,45 +54,48 @@
          C == '.' || C == '_';
 }
 
-absl::Status setName(std::string &Into, std::string_view Value) {
+absl::Status setName(std::string &Target, std::string_view Value) {
   constexpr std::size_t MaxNameBytes = 64;
   if (Value.empty() || Value.size() > MaxNameBytes ||
       !std::all_of(Value.begin(), Value.end(), isNameCharacter)) {
     return absl::InvalidArgumentError(
         "a name has 1 to 64 of a-z, 0-9, '-', '.' and '_'");
   }
-  Into = std::string(Value);
+  Target = std::string(Value);
   return absl::OkStatus();
 }
 
-absl::Status setAddress(Address &Into, std::string_view Value) {
+absl::Status setAddress(Address &Target, std::string_view Value) {
   absl::StatusOr<Address> Parsed = parseAddress(Value);
   if (!Parsed.ok()) {
     return Parsed.status();
   }
-  Into = *std::move(Parsed);
+  Target = *std::move(Parsed);
   return absl::OkStatus();
 }
 
-absl::Status setSeedPeers(std::vector<SeedPeer> &Into, std::string_view Value) {
+absl::Status setSeedPeers(std::vector<SeedPeer> &Target,
+                          std::string_view Value) {
   while (!Value.empty()) {
     const std::size_t Comma = Value.find(',');
-    const std::string_view One = trim(Value.substr(0, Comma));
-    const std::size_t At = One.find('@');
-    if (At == std::string_view::npos) {
+    const std::string_view Item = trim(Value.substr(0, Comma));
+    const std::size_t Separator = Item.find('@');
+    if (Separator == std::string_view::npos) {
       return absl::InvalidArgumentError(
-          fmt::format("'{}' is not entry@address", One));
+          fmt::format("'{}' is not entry@address", Item));
     }
     SeedPeer Peer;
-    if (absl::Status Read = setName(Peer.Entry.Text, One.substr(0, At));
-        !Read.ok()) {
-      return Read;
+    if (absl::Status Status =
+            setName(Peer.Entry.Text, Item.substr(0, Separator));
+        !Status.ok()) {
+      return Status;
     }
-    if (absl::Status Read = setAddress(Peer.At, One.substr(At + 1));
-        !Read.ok()) {
-      return Read;
+    if (absl::Status Status =
+            setAddress(Peer.PeerAddress, Item.substr(Separator + 1));
+        !Status.ok()) {
+      return Status;
     }
-    Into.push_back(std::move(Peer));
+    Target.push_back(std::move(Peer));
     Value = Comma == std::string_view::npos ? std::string_view()
                                             : trim(Value.substr(Comma + 1));
   }
@@ -99,7 +103,7 @@
 }
 
 template <typename Count>
-absl::Status setCount(Count &Into, std::string_view Value) {
+absl::Status setCount(Count &Target, std::string_view Value) {
   constexpr std::uint64_t MaxCount = 1'000'000'000;
   const absl::StatusOr<std::uint64_t> Parsed = parseNumber(Value);
   if (!Parsed.ok()) {
@@ -109,27 +113,28 @@
     return absl::InvalidArgumentError(
         fmt::format("the number must be from 1 to {}", MaxCount));
   }
-  Into = static_cast<Count>(*Parsed);
+  Target = static_cast<Count>(*Parsed);
   return absl::OkStatus();
 }
 
-absl::Status setDuration(Duration &Into, std::string_view Value) {
+absl::Status setDuration(Duration &Target, std::string_view Value) {
   const absl::StatusOr<Duration> Parsed = parseDuration(Value);
   if (!Parsed.ok()) {
     return Parsed.status();
   }
-  Into = *Parsed;
+  Target = *Parsed;
   return absl::OkStatus();
 }
 
-absl::Status setLevel(LogLevel &Into, std::string_view Value) {
-  constexpr std::array<std::string_view, 4> Known = {"debug", "info", "warning",
-                                                     "error"};
-  if (std::find(Known.begin(), Known.end(), Value) == Known.end()) {
+absl::Status setLevel(LogLevel &Target, std::string_view Value) {
+  constexpr std::array<std::string_view, 4> LevelNames = {"debug", "info",
+                                                          "warning", "error"};
+  if (std::find(LevelNames.begin(), LevelNames.end(), Value) ==
+      LevelNames.end()) {
     return absl::InvalidArgumentError(
         fmt::format("'{}' is not a log level", Value));
   }
-  Into = parseLogLevel(Value);
+  Target = parseLogLevel(Value);
   return absl::OkStatus();
 }
 
@@ -139,123 +144,132 @@
                      [](unsigned char C) { return std::isxdigit(C) != 0; });
 }
 
-/// A setter for a member.
+/// Returns a setter for a field of the settings.
 template <typename Member, typename Set>
-Setter into(Member Settings::*Where, Set SetValue) {
-  return [Where, SetValue](Settings &All, std::string_view Value) {
-    return SetValue(All.*Where, Value);
+Setter fieldSetter(Member Settings::*Field, Set SetValue) {
+  return [Field, SetValue](Settings &Config, std::string_view Value) {
+    return SetValue(Config.*Field, Value);
   };
 }
 
-/// A setter for a member of a member.
+/// Returns a setter for a field of a nested structure.
 template <typename Part, typename Member, typename Set>
-Setter into(Part Settings::*Outer, Member Part::*Inner, Set SetValue) {
-  return [Outer, Inner, SetValue](Settings &All, std::string_view Value) {
-    return SetValue(All.*Outer.*Inner, Value);
+Setter fieldSetter(Part Settings::*Outer, Member Part::*Inner, Set SetValue) {
+  return [Outer, Inner, SetValue](Settings &Config, std::string_view Value) {
+    return SetValue(Config.*Outer.*Inner, Value);
   };
 }
 
-const std::vector<Key> &keys() {
-  static const std::vector<Key> Table = {
+const std::vector<SettingKey> &settingKeys() {
+  static const std::vector<SettingKey> Table = {
       {"entry", "name", true, "entry-1",
-       into(&Settings::Entry, &EntryName::Text, setName)},
-      {"entry", "region", true, "mittelland", into(&Settings::Region, setName)},
+       fieldSetter(&Settings::Entry, &EntryName::Text, setName)},
+      {"entry", "region", true, "mittelland",
+       fieldSetter(&Settings::Region, setName)},
       {"entry", "data-centre", true, "bern",
-       into(&Settings::DataCentre, &DataCentreName::Text, setName)},
+       fieldSetter(&Settings::DataCentre, &DataCentreName::Text, setName)},
       {"listen", "callers", true, "127.0.0.1:8080",
-       into(&Settings::CallerAddress, setAddress)},
+       fieldSetter(&Settings::CallerAddress, setAddress)},
       {"listen", "peers", true, "127.0.0.1:8081",
-       into(&Settings::PeerAddress, setAddress)},
+       fieldSetter(&Settings::PeerAddress, setAddress)},
       {"listen", "operators", true, "127.0.0.1:8082",
-       into(&Settings::OperatorAddress, setAddress)},
+       fieldSetter(&Settings::OperatorAddress, setAddress)},
       {"platform", "store", true, "127.0.0.1:7001",
-       into(&Settings::StoreAddress, setAddress)},
+       fieldSetter(&Settings::StoreAddress, setAddress)},
       {"platform", "host-list", true, "127.0.0.1:7002",
-       into(&Settings::HostListAddress, setAddress)},
+       fieldSetter(&Settings::HostListAddress, setAddress)},
       {"peers", "entries", false,
        "entry-2@127.0.0.1:8181, entry-3@127.0.0.1:8281",
-       into(&Settings::SeedPeers, setSeedPeers)},
+       fieldSetter(&Settings::SeedPeers, setSeedPeers)},
       {"peers", "secret-file", true, "/etc/balsamlatch/peer.secret",
-       into(&Settings::PeerSecretPath, setText)},
-      {"log", "level", false, "info", into(&Settings::MinLogLevel, setLevel)},
+       fieldSetter(&Settings::PeerSecretPath, setText)},
+      {"log", "level", false, "info",
+       fieldSetter(&Settings::MinLogLevel, setLevel)},
       {"log", "lines-per-reason", false, "200",
-       into(&Settings::LogLinesPerReason, setCount<unsigned>)},
+       fieldSetter(&Settings::LogLinesPerReason, setCount<unsigned>)},
       {"tls", "certificate", false, "/etc/balsamlatch/entry.pem",
-       into(&Settings::Tls, &TlsSettings::CertificateFile, setText)},
+       fieldSetter(&Settings::Tls, &TlsSettings::CertificateFile, setText)},
       {"tls", "private-key", false, "/etc/balsamlatch/entry.key",
-       into(&Settings::Tls, &TlsSettings::PrivateKeyFile, setText)},
+       fieldSetter(&Settings::Tls, &TlsSettings::PrivateKeyFile, setText)},
       {"tls", "authority", false, "/etc/balsamlatch/authority.pem",
-       into(&Settings::Tls, &TlsSettings::AuthorityFile, setText)},
+       fieldSetter(&Settings::Tls, &TlsSettings::AuthorityFile, setText)},
       {"limits", "body-bytes", false, "1000000",
-       into(&Settings::ResourceLimits, &Limits::BodyBytes,
-            setCount<std::size_t>)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::BodyBytes,
+                   setCount<std::size_t>)},
       {"limits", "connections", false, "4096",
-       into(&Settings::ResourceLimits, &Limits::Connections,
-            setCount<std::size_t>)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::Connections,
+                   setCount<std::size_t>)},
       {"limits", "open-requests", false, "20000",
-       into(&Settings::ResourceLimits, &Limits::OpenRequests,
-            setCount<std::size_t>)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::OpenRequests,
+                   setCount<std::size_t>)},
       {"limits", "queued-per-pool", false, "20000",
-       into(&Settings::ResourceLimits, &Limits::QueuedPerPool,
-            setCount<std::size_t>)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::QueuedPerPool,
+                   setCount<std::size_t>)},
       {"limits", "explained-decisions", false, "20000",
-       into(&Settings::ResourceLimits, &Limits::HistoryDecisions,
-            setCount<std::size_t>)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::HistoryDecisions,
+                   setCount<std::size_t>)},
       {"limits", "stop-grace", false, "2s",
-       into(&Settings::ResourceLimits, &Limits::StopGracePeriod, setDuration)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::StopGracePeriod,
+                   setDuration)},
       {"limits", "stop-wait", false, "60s",
-       into(&Settings::ResourceLimits, &Limits::DrainTimeout, setDuration)},
+       fieldSetter(&Settings::ResourceLimits, &Limits::DrainTimeout,
+                   setDuration)},
   };
   return Table;
 }
 
-/// The section whose keys are the owners' names.
+/// The section in which each key is the name of an owner.
 constexpr std::string_view OwnersSection = "owners";
 
-/// Feeds inih line by line and knows where it is. Lines that inih would refuse
-/// are reported here and handed on as blank, because inih tells only the first.
+/// Passes lines to inih and tracks the current position. Reports lines that
+/// inih can't parse and replaces them by empty ones, because inih reports only
+/// the first error.
 class SettingsReader {
 public:
   SettingsReader(std::string_view Name, std::string_view Text)
-      : File(Name), Rest(Text) {}
+      : FileName(Name), RemainingText(Text) {}
 
   SettingsParseResult parse() {
-    ini_parse_stream(readLine, this, takePair, this);
-    checkWhole();
+    ini_parse_stream(readLine, this, handlePair, this);
+    checkCompleteness();
     return std::move(Result);
   }
 
 private:
-  static char *readLine(char *Into, int Size, void *Self) {
-    return static_cast<SettingsReader *>(Self)->nextLine(
-        Into, static_cast<std::size_t>(Size));
+  static char *readLine(char *Target, int Size, void *Reader) {
+    return static_cast<SettingsReader *>(Reader)->copyNextLine(
+        Target, static_cast<std::size_t>(Size));
   }
 
-  static int takePair(void *Self, const char *Section, const char *Name,
-                      const char *Value) {
-    static_cast<SettingsReader *>(Self)->take(Section, Name, Value);
+  static int handlePair(void *Reader, const char *Section, const char *Name,
+                        const char *Value) {
+    static_cast<SettingsReader *>(Reader)->setValue(Section, Name, Value);
     return 1;
   }
 
-  char *nextLine(char *Into, std::size_t Size) {
-    if (Rest.empty()) {
+  char *copyNextLine(char *Target, std::size_t Size) {
+    if (RemainingText.empty()) {
       return nullptr;
     }
-    const std::size_t End = Rest.find('\n');
-    Line = Rest.substr(0, End);
-    Rest = End == std::string_view::npos ? std::string_view()
-                                         : Rest.substr(End + 1);
+    const std::size_t End = RemainingText.find('\n');
+    Line = RemainingText.substr(0, End);
+    RemainingText = End == std::string_view::npos
+                        ? std::string_view()
+                        : RemainingText.substr(End + 1);
     ++LineNumber;
-    // Indented lines would continue the value before; settings have none.
-    const std::string_view Shown =
-        acceptable(Size) ? trim(Line) : std::string_view();
-    std::memcpy(Into, Shown.data(), Shown.size());
-    Into[Shown.size()] = '\n';
-    Into[Shown.size() + 1] = '\0';
-    return Into;
+    // Removes the indentation, since inih treats an indented line as a
+    // continuation of the previous value.
+    const std::string_view LineText =
+        checkLine(Size) ? trim(Line) : std::string_view();
+    std::memcpy(Target, LineText.data(), LineText.size());
+    Target[LineText.size()] = '\n';
+    Target[LineText.size() + 1] = '\0';
+    return Target;
   }
 
-  bool acceptable(std::size_t Size) {
+  /// Returns whether inih can parse the current line; otherwise reports why
+  /// not. \p Size is the size of the buffer that inih provides.
+  bool checkLine(std::size_t Size) {
     const std::string_view Text = trim(Line);
     if (Text.find('\0') != std::string_view::npos) {
       report(1, "the line holds a zero byte", "remove it");
@@ -270,7 +284,7 @@
       return true;
     }
     if (Text.front() == '[') {
-      return acceptableSection(Text);
+      return checkSection(Text);
     }
     if (Text.find_first_of("=:") == std::string_view::npos) {
       report(columnOf(Text), "the line is neither a section nor `name = value`",
@@ -280,7 +294,9 @@
     return true;
   }
 
-  bool acceptableSection(std::string_view Text) {
+  /// Returns whether the section header is well-formed. Also reports an unknown
+  /// section.
+  bool checkSection(std::string_view Text) {
     const std::size_t End = Text.find(']');
     if (End == std::string_view::npos) {
       report(columnOf(Text), "the section has no closing ']'",
@@ -288,9 +304,11 @@
       return false;
     }
     const std::string_view Name = Text.substr(1, End - 1);
-    const auto IsNamed = [Name](const Key &K) { return K.Section == Name; };
+    const auto HasName = [Name](const SettingKey &Setting) {
+      return Setting.Section == Name;
+    };
     if (Name != OwnersSection &&
-        std::none_of(keys().begin(), keys().end(), IsNamed)) {
+        std::none_of(settingKeys().begin(), settingKeys().end(), HasName)) {
       report(columnOf(Text) + 1, fmt::format("unknown section '{}'", Name),
              "use one of entry, listen, platform, peers, owners, log, tls, "
              "limits");
@@ -298,37 +316,39 @@
     return true;
   }
 
-  void take(std::string_view Section, std::string_view Name,
-            std::string_view Value) {
-    if (!Seen.insert({std::string(Section), std::string(Name)}).second) {
+  void setValue(std::string_view Section, std::string_view Name,
+                std::string_view Value) {
+    if (!ParsedKeys.insert({std::string(Section), std::string(Name)}).second) {
       report(nameColumn(),
              fmt::format("'{}' is set twice in [{}]", Name, Section),
              "keep one of the two lines");
       return;
     }
     if (Section == OwnersSection) {
-      takeOwner(Name, Value);
+      setOwnerKey(Name, Value);
       return;
     }
-    const auto Found =
-        std::find_if(keys().begin(), keys().end(), [&](const Key &K) {
-          return K.Section == Section && K.Name == Name;
-        });
-    if (Found == keys().end()) {
+    const auto It = std::find_if(settingKeys().begin(), settingKeys().end(),
+                                 [&](const SettingKey &Setting) {
+                                   return Setting.Section == Section &&
+                                          Setting.Name == Name;
+                                 });
+    if (It == settingKeys().end()) {
       reportUnknown(Section, Name);
       return;
     }
-    if (const absl::Status Set = Found->Set(Result.Config, Value); !Set.ok()) {
+    if (const absl::Status Status = It->Set(Result.Config, Value);
+        !Status.ok()) {
       report(valueColumn(),
-             fmt::format("{}: {}", Name, std::string(Set.message())),
-             fmt::format("write for example `{} = {}`", Name, Found->Example));
+             fmt::format("{}: {}", Name, std::string(Status.message())),
+             fmt::format("write for example `{} = {}`", Name, It->Example));
     }
   }
 
-  void takeOwner(std::string_view Name, std::string_view Value) {
+  void setOwnerKey(std::string_view Name, std::string_view Value) {
     std::string Owner;
-    if (const absl::Status Read = setName(Owner, Name); !Read.ok()) {
-      report(nameColumn(), std::string(Read.message()),
+    if (const absl::Status Status = setName(Owner, Name); !Status.ok()) {
+      report(nameColumn(), std::string(Status.message()),
              "write the owner's name");
       return;
     }
@@ -341,8 +361,10 @@
   }
 
   void reportUnknown(std::string_view Section, std::string_view Name) {
-    const auto HasSection = [&](const Key &K) { return K.Section == Section; };
-    if (std::none_of(keys().begin(), keys().end(), HasSection)) {
+    const auto HasSection = [&](const SettingKey &Setting) {
+      return Setting.Section == Section;
+    };
+    if (std::none_of(settingKeys().begin(), settingKeys().end(), HasSection)) {
       if (Section.empty()) {
         report(nameColumn(),
                fmt::format("'{}' stands before any section", Name),
@@ -350,29 +372,32 @@
       }
       return;
     }
-    std::string Known;
-    for (const Key &K : keys()) {
-      if (K.Section == Section) {
-        Known += fmt::format("{}{}", Known.empty() ? "" : ", ", K.Name);
+    std::string ValidNames;
+    for (const SettingKey &Setting : settingKeys()) {
+      if (Setting.Section == Section) {
+        ValidNames +=
+            fmt::format("{}{}", ValidNames.empty() ? "" : ", ", Setting.Name);
       }
     }
     report(nameColumn(),
            fmt::format("unknown setting '{}' in [{}]", Name, Section),
-           "use one of " + Known);
+           "use one of " + ValidNames);
   }
 
-  void checkWhole() {
-    for (const Key &K : keys()) {
-      if (K.Required &&
-          !Seen.contains({std::string(K.Section), std::string(K.Name)})) {
-        reportAtEnd(fmt::format("[{}] {} is missing", K.Section, K.Name),
-                    fmt::format("add `{} = {}` below [{}]", K.Name, K.Example,
-                                K.Section));
+  void checkCompleteness() {
+    for (const SettingKey &Setting : settingKeys()) {
+      if (Setting.Required &&
+          !ParsedKeys.contains(
+              {std::string(Setting.Section), std::string(Setting.Name)})) {
+        reportAtEnd(
+            fmt::format("[{}] {} is missing", Setting.Section, Setting.Name),
+            fmt::format("add `{} = {}` below [{}]", Setting.Name,
+                        Setting.Example, Setting.Section));
       }
     }
-    constexpr std::size_t OwnersNeeded = 2;
+    constexpr std::size_t RequiredOwners = 2;
     const auto &Owners = Result.Config.GenesisOwners;
-    if (Owners.size() != OwnersNeeded) {
+    if (Owners.size() != RequiredOwners) {
       reportAtEnd(
           fmt::format("[owners] names {} owners, not two", Owners.size()),
           "write one `name = public key` line for each co-owner");
@@ -387,22 +412,23 @@
     }
   }
 
-  unsigned columnOf(std::string_view Part) const {
-    return static_cast<unsigned>(Part.data() - Line.data()) + 1;
+  unsigned columnOf(std::string_view Text) const {
+    return static_cast<unsigned>(Text.data() - Line.data()) + 1;
   }
 
   unsigned nameColumn() const { return columnOf(trim(Line)); }
 
   unsigned valueColumn() const {
-    const std::size_t Sign = Line.find_first_of("=:");
-    const std::string_view Value =
-        Sign == std::string_view::npos ? Line : trim(Line.substr(Sign + 1));
+    const std::size_t Separator = Line.find_first_of("=:");
+    const std::string_view Value = Separator == std::string_view::npos
+                                       ? Line
+                                       : trim(Line.substr(Separator + 1));
     return Value.empty() ? static_cast<unsigned>(Line.size()) + 1
                          : columnOf(Value);
   }
 
   void report(unsigned Column, std::string Message, std::string Remedy) {
-    Result.Problems.add(Finding{{std::string(File), LineNumber, Column},
+    Result.Problems.add(Finding{{std::string(FileName), LineNumber, Column},
                                 Severity::Error,
                                 std::move(Message),
                                 std::move(Remedy),
@@ -410,27 +436,27 @@
   }
 
   void reportAtEnd(std::string Message, std::string Remedy) {
-    Result.Problems.add(Finding{{std::string(File), LineNumber + 1, 1},
+    Result.Problems.add(Finding{{std::string(FileName), LineNumber + 1, 1},
                                 Severity::Error,
                                 std::move(Message),
                                 std::move(Remedy),
                                 {}});
   }
 
-  std::string_view File;
-  std::string_view Rest;
-  // Invariant: the line that inih works on, and its number from 1.
+  std::string_view FileName;
+  std::string_view RemainingText;
+  // The line that inih currently parses, and its number, counted from 1.
   std::string_view Line;
   unsigned LineNumber = 0;
-  std::set<std::pair<std::string, std::string>> Seen;
+  std::set<std::pair<std::string, std::string>> ParsedKeys;
   SettingsParseResult Result;
 };
 
 } // namespace
 
-SettingsParseResult parseSettings(std::string_view File,
+SettingsParseResult parseSettings(std::string_view FileName,
                                   std::string_view Text) {
-  return SettingsReader(File, Text).parse();
+  return SettingsReader(FileName, Text).parse();
 }
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/StatusPage.cpp
+++ b/Source/Daemon/StatusPage.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Words status and explain as JSON.
+/// Builds the status and explain pages as JSON.
 
 #include "balsamlatch/Daemon/StatusPage.h"
 
@@ -14,17 +14,17 @@
 
 namespace {
 
-std::string timeText(WallTime Time) {
+std::string formatTime(WallTime Time) {
   const auto Seconds = std::chrono::floor<std::chrono::seconds>(Time);
   return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:06}Z",
                      fmt::gmtime(std::chrono::system_clock::to_time_t(Seconds)),
                      (Time - Seconds).count());
 }
 
-boost::json::object identity(const EntryIdentity &Self) {
-  return {{"entry", Self.Entry.Text},
-          {"region", Self.Region},
-          {"data_centre", Self.DataCentre.Text}};
+boost::json::object identityJson(const EntryIdentity &Identity) {
+  return {{"entry", Identity.Entry.Text},
+          {"region", Identity.Region},
+          {"data_centre", Identity.DataCentre.Text}};
 }
 
 struct PoolCount {
@@ -44,30 +44,31 @@
   return Counts;
 }
 
-boost::json::array pools(const EngineStatus &Serving, const FleetStatus &Fleet,
-                         const RuleSetPtr &Rules) {
+boost::json::array poolsJson(const EngineStatus &Engine,
+                             const FleetStatus &Fleet,
+                             const RuleSetPtr &Rules) {
   const std::map<PoolName, PoolCount> Counts = countHosts(Fleet);
-  boost::json::array All;
-  for (const placement::PoolStanding &Pool : Serving.Pools) {
-    const auto Found = Counts.find(Pool.Pool);
-    const PoolCount Count = Found == Counts.end() ? PoolCount() : Found->second;
+  boost::json::array Array;
+  for (const placement::PoolStanding &Pool : Engine.Pools) {
+    const auto It = Counts.find(Pool.Pool);
+    const PoolCount Count = It == Counts.end() ? PoolCount() : It->second;
     const PoolRule *Rule = Rules == nullptr ? nullptr : Rules->pool(Pool.Pool);
-    All.push_back({{"pool", Pool.Pool.Text},
-                   {"queued_prompt", Pool.QueuedPrompt},
-                   {"queued_patient", Pool.QueuedPatient},
-                   {"slots_in_use", Pool.SlotsInUse},
-                   {"slots_total", Pool.SlotsTotal},
-                   {"ejected", Pool.Ejected},
-                   {"hosts", Count.Hosts},
-                   {"away", Count.Away},
-                   {"away_allowed",
-                    Rule == nullptr ? 0 : Rule->Away.allowed(Count.Hosts)}});
+    Array.push_back({{"pool", Pool.Pool.Text},
+                     {"queued_prompt", Pool.QueuedPrompt},
+                     {"queued_patient", Pool.QueuedPatient},
+                     {"slots_in_use", Pool.SlotsInUse},
+                     {"slots_total", Pool.SlotsTotal},
+                     {"ejected", Pool.Ejected},
+                     {"hosts", Count.Hosts},
+                     {"away", Count.Away},
+                     {"away_allowed",
+                      Rule == nullptr ? 0 : Rule->Away.allowed(Count.Hosts)}});
   }
-  return All;
+  return Array;
 }
 
-boost::json::object host(const HostName &Name,
-                         const fleet::HostRecord &Record) {
+boost::json::object hostJson(const HostName &Name,
+                             const fleet::HostRecord &Record) {
   boost::json::object Object{{"host", Name.Text},
                              {"pool", Record.Pool.Text},
                              {"state", fleet::stateCode(Record.State)},
@@ -77,18 +78,18 @@
   if (Record.InHand.Kind != fleet::OperationKind::None) {
     Object["operation"] = Record.InHand.Id;
     Object["cause"] = Record.InHand.Cause;
-    Object["since"] = timeText(Record.InHand.Since);
+    Object["since"] = formatTime(Record.InHand.Since);
     if (!Record.InHand.Target.empty()) {
       Object["target"] = Record.InHand.Target.Text;
     }
   }
   if (Record.LastMaintained != WallTime{}) {
-    Object["last_maintained"] = timeText(Record.LastMaintained);
+    Object["last_maintained"] = formatTime(Record.LastMaintained);
   }
   return Object;
 }
 
-boost::json::object ledger(const FleetStatus &Fleet, bool WithHosts) {
+boost::json::object ledgerJson(const FleetStatus &Fleet, bool WithHosts) {
   boost::json::object Object{{"version", Fleet.LedgerVersion},
                              {"listing", Fleet.ListingGeneration}};
   if (Fleet.Ledger == nullptr) {
@@ -101,7 +102,7 @@
     boost::json::value &Count = States[fleet::stateCode(Record.State)];
     Count = Count.is_null() ? 1 : Count.to_number<std::int64_t>() + 1;
     if (WithHosts) {
-      Hosts.push_back(host(Name, Record));
+      Hosts.push_back(hostJson(Name, Record));
     }
   }
   Object["states"] = std::move(States);
@@ -111,19 +112,19 @@
   return Object;
 }
 
-boost::json::array peers(const DaemonStatus &Status) {
-  boost::json::array All;
+boost::json::array peersJson(const DaemonStatus &Status) {
+  boost::json::array Array;
   for (const PeerStatus &Peer : Status.Peers.get()) {
-    All.push_back({{"entry", Peer.Entry.Text},
-                   {"state", Peer.State},
-                   {"rules_document", Peer.Rules.Value},
-                   {"ledger", Peer.LedgerVersion}});
+    Array.push_back({{"entry", Peer.Entry.Text},
+                     {"state", Peer.State},
+                     {"rules_document", Peer.Rules.Value},
+                     {"ledger", Peer.LedgerVersion}});
   }
-  return All;
+  return Array;
 }
 
-/// Line \p Number of the text, counted from 1; empty if there is none.
-std::string_view lineOf(std::string_view Text, unsigned Number) {
+/// Returns line \p Number of the text, counted from 1, or an empty string.
+std::string_view lineAt(std::string_view Text, unsigned Number) {
   for (unsigned Line = 1; Line < Number; ++Line) {
     const std::size_t End = Text.find('\n');
     if (End == std::string_view::npos) {
@@ -134,66 +135,68 @@
   return Text.substr(0, Text.find('\n'));
 }
 
-boost::json::object decision(const Decision &Made, const RuleSetPtr &Rules,
-                             const std::shared_ptr<const std::string> &Text) {
-  boost::json::object Told{
-      {"time", timeText(Made.At)},    {"subject", Made.Subject},
-      {"reason", Made.Reason},        {"rules", Made.Rules.Value},
-      {"ledger", Made.LedgerVersion}, {"details", Made.Details}};
-  if (Made.RuleLine == 0) {
-    return Told;
+boost::json::object
+decisionJson(const Decision &Record, const RuleSetPtr &Rules,
+             const std::shared_ptr<const std::string> &Text) {
+  boost::json::object Object{
+      {"time", formatTime(Record.Time)}, {"subject", Record.Subject},
+      {"reason", Record.Reason},         {"rules", Record.Rules.Value},
+      {"ledger", Record.LedgerVersion},  {"details", Record.Details}};
+  if (Record.RuleLine == 0) {
+    return Object;
   }
-  Told["rule_line"] = Made.RuleLine;
-  // The text of earlier versions isn't kept; `balsamlatch show` prints it.
-  if (Rules != nullptr && Text != nullptr && Rules->Version == Made.Rules) {
-    Told["rule"] = lineOf(*Text, Made.RuleLine);
+  Object["rule_line"] = Record.RuleLine;
+  // Only the text of the active rules is in memory; `balsamlatch show` prints
+  // earlier versions.
+  if (Rules != nullptr && Text != nullptr && Rules->Version == Record.Rules) {
+    Object["rule"] = lineAt(*Text, Record.RuleLine);
   }
-  return Told;
+  return Object;
 }
 
 } // namespace
 
-std::string statusPage(const EntryIdentity &Self, const DaemonStatus &Status,
-                       bool WithHosts) {
-  const EngineStatus Serving = Status.Engine.get();
+std::string statusPage(const EntryIdentity &Identity,
+                       const DaemonStatus &Status, bool WithHosts) {
+  const EngineStatus Engine = Status.Engine.get();
   const FleetStatus Fleet = Status.Fleet.get();
   const RuleSetPtr Rules = Status.Rules.get();
-  boost::json::object Page = identity(Self);
-  Page["embedded"] = Self.Embedded;
+  boost::json::object Page = identityJson(Identity);
+  Page["embedded"] = Identity.Embedded;
   Page["ready"] = Status.IsReady.load();
   Page["stopping"] = Status.IsStopping.load();
   Page["rules"] = Rules == nullptr ? 0 : Rules->Version.Value;
-  Page["ledger"] = ledger(Fleet, WithHosts);
+  Page["ledger"] = ledgerJson(Fleet, WithHosts);
   Page["leads"] = Fleet.IsLeader;
-  Page["open_requests"] = Serving.OpenRequests;
-  Page["open_attempts"] = Serving.OpenAttempts;
-  Page["ended"] = {{"answered", Serving.Counters.Answered},
-                   {"not_run", Serving.Counters.NotRun},
-                   {"unknown", Serving.Counters.Unknown}};
-  Page["pools"] = pools(Serving, Fleet, Rules);
-  Page["entries"] = peers(Status);
+  Page["open_requests"] = Engine.OpenRequests;
+  Page["open_attempts"] = Engine.OpenAttempts;
+  Page["ended"] = {{"answered", Engine.Counters.Answered},
+                   {"not_run", Engine.Counters.NotRun},
+                   {"unknown", Engine.Counters.Unknown}};
+  Page["pools"] = poolsJson(Engine, Fleet, Rules);
+  Page["entries"] = peersJson(Status);
   return boost::json::serialize(Page);
 }
 
-std::string explainPage(const EntryIdentity &Self, const DaemonStatus &Status,
-                        std::string_view Subject,
+std::string explainPage(const EntryIdentity &Identity,
+                        const DaemonStatus &Status, std::string_view Subject,
                         const std::vector<Decision> &Decisions) {
-  boost::json::object Page = identity(Self);
+  boost::json::object Page = identityJson(Identity);
   Page["subject"] = Subject;
   const FleetStatus Fleet = Status.Fleet.get();
   if (Fleet.Ledger != nullptr) {
-    const auto Known = Fleet.Ledger->Hosts.find(HostName(std::string(Subject)));
-    if (Known != Fleet.Ledger->Hosts.end()) {
-      Page["host"] = host(Known->first, Known->second);
+    const auto It = Fleet.Ledger->Hosts.find(HostName(std::string(Subject)));
+    if (It != Fleet.Ledger->Hosts.end()) {
+      Page["host"] = hostJson(It->first, It->second);
     }
   }
   const RuleSetPtr Rules = Status.Rules.get();
   const auto Text = Status.RulesText.get();
-  boost::json::array Told;
-  for (const Decision &Made : Decisions) {
-    Told.push_back(decision(Made, Rules, Text));
+  boost::json::array DecisionArray;
+  for (const Decision &Record : Decisions) {
+    DecisionArray.push_back(decisionJson(Record, Rules, Text));
   }
-  Page["decisions"] = std::move(Told);
+  Page["decisions"] = std::move(DecisionArray);
   return boost::json::serialize(Page);
 }
 
--- a/Source/Daemon/balsamlatchd.cpp
+++ b/Source/Daemon/balsamlatchd.cpp
@@ -1,6 +1,5 @@
 /// \file
-/// The daemon's front: arguments, settings, signals. Everything else is in the
-/// Daemon package.
+/// Main function of the daemon: arguments, settings and signals.
 
 #include "balsamlatch/Base/Log.h"
 #include "balsamlatch/Daemon/Daemon.h"
@@ -26,7 +25,7 @@
 
 using namespace balsamlatch;
 
-enum ExitCode { ExitDone = 0, ExitFailed = 1, ExitUsage = 2 };
+enum ExitCode { ExitSuccess = 0, ExitFailure = 1, ExitUsage = 2 };
 
 struct Arguments {
   std::string ConfigFile;
@@ -42,50 +41,49 @@
   return std::string(std::istreambuf_iterator<char>(File), {});
 }
 
-/// The arguments, or the code to exit with.
+/// Returns the arguments, or the exit code for --help and usage errors.
 std::variant<Arguments, ExitCode> parseArguments(int Argc, char **Argv) {
   cxxopts::Options Options("balsamlatchd",
-                           "Serves callers and keeps the fleet in order.");
+                           "Serves callers and maintains the fleet.");
   Options.add_options()("config", "settings file (INI)",
                         cxxopts::value<std::string>(),
                         "FILE")("check", "check the settings and exit")(
-      "embedded",
-      "carry stand-ins of the platform in this process, for a first try")(
+      "embedded", "run a simulated platform in this process, for evaluation")(
       "help", "print this help");
   try {
     const cxxopts::ParseResult Parsed = Options.parse(Argc, Argv);
     if (Parsed.count("help") > 0) {
       fmt::print("{}", Options.help());
-      return ExitDone;
+      return ExitSuccess;
     }
-    Arguments Given;
-    Given.Embedded = Parsed.count("embedded") > 0;
-    Given.CheckOnly = Parsed.count("check") > 0;
-    if (Given.Embedded) {
-      return Given;
+    Arguments Args;
+    Args.Embedded = Parsed.count("embedded") > 0;
+    Args.CheckOnly = Parsed.count("check") > 0;
+    if (Args.Embedded) {
+      return Args;
     }
     if (Parsed.count("config") == 0) {
       fmt::print(stderr, "balsamlatchd: --config FILE is missing\n");
       return ExitUsage;
     }
-    Given.ConfigFile = Parsed["config"].as<std::string>();
-    return Given;
-  } catch (const cxxopts::exceptions::exception &Fault) {
-    fmt::print(stderr, "balsamlatchd: {}\n", Fault.what());
+    Args.ConfigFile = Parsed["config"].as<std::string>();
+    return Args;
+  } catch (const cxxopts::exceptions::exception &Error) {
+    fmt::print(stderr, "balsamlatchd: {}\n", Error.what());
     return ExitUsage;
   }
 }
 
 std::variant<daemon::DaemonOptions, ExitCode>
-readSettings(const Arguments &Given) {
-  const absl::StatusOr<std::string> Text = readFile(Given.ConfigFile);
+readSettings(const Arguments &Args) {
+  const absl::StatusOr<std::string> Text = readFile(Args.ConfigFile);
   if (!Text.ok()) {
     fmt::print(stderr, "balsamlatchd: {}\n",
                std::string(Text.status().message()));
     return ExitUsage;
   }
   daemon::SettingsParseResult Parsed =
-      daemon::parseSettings(Given.ConfigFile, *Text);
+      daemon::parseSettings(Args.ConfigFile, *Text);
   if (Parsed.Problems.hasErrors()) {
     fmt::print(stderr, "{}", Parsed.Problems.render());
     return ExitUsage;
@@ -106,29 +104,32 @@
 
 int serve(daemon::DaemonOptions Options) {
   const SystemClock Time;
-  Log Lines(Time, stderr,
-            {Options.Config.MinLogLevel, Options.Config.LogLinesPerReason});
-  daemon::Daemon Entry(std::move(Options), Time, Lines);
-  // Signals are taken from before the start, so that none is missed.
+  Log LogOutput(Time, stderr,
+                {Options.Config.MinLogLevel, Options.Config.LogLinesPerReason});
+  daemon::Daemon Instance(std::move(Options), Time, LogOutput);
+  // Registers the signals before the start, so that none is missed.
   boost::asio::io_context Signals;
-  boost::asio::signal_set Wanted(Signals, SIGTERM, SIGINT);
-  Wanted.async_wait([&Entry](const boost::system::error_code &Fault, int) {
-    if (!Fault) {
-      Entry.requestStop();
-    }
-  });
-  if (const absl::Status Started = Entry.start(); !Started.ok()) {
-    fmt::print(stderr, "balsamlatchd: {}\n", std::string(Started.message()));
-    return ExitFailed;
+  boost::asio::signal_set StopSignals(Signals, SIGTERM, SIGINT);
+  StopSignals.async_wait(
+      [&Instance](const boost::system::error_code &Error, int) {
+        if (!Error) {
+          Instance.requestStop();
+        }
+      });
+  if (const absl::Status StartStatus = Instance.start(); !StartStatus.ok()) {
+    fmt::print(stderr, "balsamlatchd: {}\n",
+               std::string(StartStatus.message()));
+    return ExitFailure;
   }
-  std::thread Listener([&Signals] { Signals.run(); });
-  const bool Drained = Entry.wait();
+  std::thread SignalThread([&Signals] { Signals.run(); });
+  const bool AllAnswered = Instance.wait();
   Signals.stop();
-  Listener.join();
-  return Drained ? ExitDone : ExitFailed;
+  SignalThread.join();
+  return AllAnswered ? ExitSuccess : ExitFailure;
 }
 
-/// Serves with the stand-ins in this process, on fixed ports of loopback.
+/// Runs the daemon with a simulated platform in this process, on fixed loopback
+/// ports.
 int serveEmbedded() {
   constexpr std::uint16_t CallersPort = 8080;
   constexpr std::uint16_t PeersPort = 8081;
@@ -137,15 +138,17 @@
   if (!Owners.ok()) {
     fmt::print(stderr, "balsamlatchd: {}\n",
                std::string(Owners.status().message()));
-    return ExitFailed;
+    return ExitFailure;
   }
   const std::string Rules = daemon::embeddedRules(*Owners);
   const SystemClock Time;
   daemon::EmbeddedPlatform Platform(Time, daemon::embeddedPlatformOptions(),
                                     *std::move(Owners));
-  if (const absl::Status Started = Platform.start(Rules); !Started.ok()) {
-    fmt::print(stderr, "balsamlatchd: {}\n", std::string(Started.message()));
-    return ExitFailed;
+  if (const absl::Status StartStatus = Platform.start(Rules);
+      !StartStatus.ok()) {
+    fmt::print(stderr, "balsamlatchd: {}\n",
+               std::string(StartStatus.message()));
+    return ExitFailure;
   }
   daemon::DaemonOptions Options = Platform.entryOptions("embedded");
   Options.Config.CallerAddress.Port = CallersPort;
@@ -158,21 +161,21 @@
 
 int main(int Argc, char **Argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  const auto Given = parseArguments(Argc, Argv);
-  if (const auto *Code = std::get_if<ExitCode>(&Given)) {
+  const auto ParsedArguments = parseArguments(Argc, Argv);
+  if (const auto *Code = std::get_if<ExitCode>(&ParsedArguments)) {
     return *Code;
   }
-  const auto &Wanted = std::get<Arguments>(Given);
-  if (Wanted.Embedded) {
+  const auto &Args = std::get<Arguments>(ParsedArguments);
+  if (Args.Embedded) {
     return serveEmbedded();
   }
-  auto Read = readSettings(Wanted);
-  if (const auto *Code = std::get_if<ExitCode>(&Read)) {
+  auto LoadedOptions = readSettings(Args);
+  if (const auto *Code = std::get_if<ExitCode>(&LoadedOptions)) {
     return *Code;
   }
-  if (Wanted.CheckOnly) {
-    fmt::print("{}: no errors\n", Wanted.ConfigFile);
-    return ExitDone;
+  if (Args.CheckOnly) {
+    fmt::print("{}: no errors\n", Args.ConfigFile);
+    return ExitSuccess;
   }
-  return serve(std::get<daemon::DaemonOptions>(std::move(Read)));
+  return serve(std::get<daemon::DaemonOptions>(std::move(LoadedOptions)));
 }
--- a/Source/Daemon/include/balsamlatch/Daemon/CallerMessages.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/CallerMessages.h
@@ -1,5 +1,5 @@
 /// \file
-/// The callers' protocol: reads a call into a request, and words its end.
+/// The HTTP protocol for callers: request parsing and responses.
 
 #ifndef BALSAMLATCH_DAEMON_CALLERMESSAGES_H
 #define BALSAMLATCH_DAEMON_CALLERMESSAGES_H
@@ -13,18 +13,17 @@
 
 namespace balsamlatch::daemon {
 
-/// Reads `POST /v1/jobs/<job>`. The result is the request, without its
-/// identifier, or the response that refuses the call; a refused call did not
-/// run.
+/// Parses `POST /v1/jobs/<job>`. Returns the request without its identifier, or
+/// the response that rejects it. A rejected request is never run.
 std::variant<placement::Request, http::Response>
 parseRequest(const http::Request &Message);
 
-/// The response for a request's end. \p Body is the whole answer when the
-/// outcome is Answered.
-http::Response makeResponse(const placement::FinishRequest &End,
+/// Builds the response for a finished request. \p Body is the complete answer
+/// if the outcome is Answered.
+http::Response makeResponse(const placement::FinishRequest &Completion,
                             std::string Body);
 
-/// A refusal that was made before the engine saw the request.
+/// Builds the response for a request rejected before it reached the engine.
 http::Response makeRejection(unsigned Status, std::string_view Reason,
                              std::string_view Message);
 
--- a/Source/Daemon/include/balsamlatch/Daemon/CallerServer.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/CallerServer.h
@@ -28,6 +28,7 @@
 
 namespace balsamlatch::daemon {
 
+/// HTTP server for callers and executor of placement actions on workers.
 class CallerServer {
 public:
   struct Options {
@@ -40,7 +41,7 @@
     Limits ResourceLimits;
   };
 
-  CallerServer(EventLoop &Network, Options Config, WorkerClient &Workers,
+  CallerServer(EventLoop &NetworkLoop, Options Config, WorkerClient &Workers,
                const Clock &TimeSource, DaemonStatus &Status, LogSink &Sink);
 
   /// Sets the callbacks, before start(). \p PushToEngine queues an event for
@@ -91,7 +92,7 @@
   void pushEvent(placement::Event Event);
   void flushOverflow();
 
-  EventLoop &Network;
+  EventLoop &NetworkLoop;
   const Options Config;
   WorkerClient &Workers;
   const Clock &TimeSource;
--- a/Source/Daemon/include/balsamlatch/Daemon/ClaimService.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/ClaimService.h
@@ -25,6 +25,7 @@
   placement::Outcome Result = placement::Outcome::Unknown;
 };
 
+/// Runs the claim keeper against the store.
 class ClaimService {
 public:
   using Input = std::variant<placement::ClaimKey, ClaimEnd>;
--- a/Source/Daemon/include/balsamlatch/Daemon/DaemonStatus.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DaemonStatus.h
@@ -82,6 +82,7 @@
   std::atomic<std::uint64_t> ClaimsUnavailable = 0;
 };
 
+/// Everything that the threads publish. Thread safe.
 struct DaemonStatus {
   Published<EngineStatus> Engine;
   Published<FleetStatus> Fleet;
--- a/Source/Daemon/include/balsamlatch/Daemon/DecisionHistory.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DecisionHistory.h
@@ -1,6 +1,6 @@
 /// \file
-/// The latest decisions of this entry, kept in bounded memory so that
-/// operators can ask why something happened.
+/// The latest decisions of this entry, kept in a ring buffer for the explain
+/// page.
 
 #ifndef BALSAMLATCH_DAEMON_DECISIONHISTORY_H
 #define BALSAMLATCH_DAEMON_DECISIONHISTORY_H
@@ -20,36 +20,37 @@
 
 /// One decision about a request or a host.
 struct Decision {
-  WallTime At{};
-  /// Order of the decisions of this process.
+  WallTime Time{};
+  /// Number of the decision within this process, ascending.
   std::uint64_t Sequence = 0;
   /// The request or host.
   std::string Subject;
   /// Stable code with a page in Help/reason.
   std::string Reason;
-  /// Line of the rule that drove it; 0: none.
+  /// Line of the rule that caused it; 0 if none.
   unsigned RuleLine = 0;
   RulesVersion Rules;
   std::uint64_t LedgerVersion = 0;
   boost::json::object Details;
 };
 
-/// Thread safe.
+/// A ring buffer of the latest decisions. Thread safe.
 class DecisionHistory {
 public:
   explicit DecisionHistory(std::size_t Capacity);
 
-  /// Keeps a decision; the oldest one goes when the memory is full.
-  void add(Decision Made);
+  /// Adds a decision; removes the oldest one if the buffer is full.
+  void add(Decision NewDecision);
 
-  /// Decisions about the subject, oldest first. A host's story has the latest
-  /// decisions about requests whose details name it, too.
-  std::vector<Decision> about(std::string_view Subject) const;
+  /// Returns the latest decisions about a request or host, oldest first. For a
+  /// host this includes the latest decisions about requests that name it in
+  /// their details.
+  std::vector<Decision> decisionsFor(std::string_view Subject) const;
 
 private:
   mutable std::mutex Lock;
-  // Invariant: in the order of their sequence.
-  boost::circular_buffer<Decision> Kept;
+  // Invariant: ordered by sequence.
+  boost::circular_buffer<Decision> Decisions;
   std::uint64_t NextSequence = 1;
 };
 
--- a/Source/Daemon/include/balsamlatch/Daemon/DecisionThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DecisionThread.h
@@ -50,6 +50,7 @@
   std::function<void(placement::SendSlotMessage)> SendToPeer;
 };
 
+/// Owns the placement engine and the thread on which it runs.
 class DecisionThread {
 public:
   DecisionThread(placement::EngineOptions Options, const Clock &TimeSource,
--- a/Source/Daemon/include/balsamlatch/Daemon/Embedded.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/Embedded.h
@@ -1,7 +1,7 @@
 /// \file
-/// The platform's stand-ins within the daemon's own process, for a first try:
-/// fifty workers, a store with rules that two owners made here have signed,
-/// and the settings that go with them.
+/// A simulated platform in the daemon's own process, for evaluation: fifty
+/// workers, a store with example rules signed by two generated owner keys, and
+/// matching settings.
 
 #ifndef BALSAMLATCH_DAEMON_EMBEDDED_H
 #define BALSAMLATCH_DAEMON_EMBEDDED_H
@@ -18,37 +18,40 @@
 
 namespace balsamlatch::daemon {
 
-/// Keys of the two owners of the built-in rules.
+/// Key pairs of the two owners of the example rules.
 struct OwnerKeyPairs {
   PrivateKey First;
   PrivateKey Second;
 };
 
-/// Two new keys.
+/// Generates the key pairs of two owners.
 absl::StatusOr<OwnerKeyPairs> generateOwnerKeys();
 
-/// The rules of a first try, with these owners.
+/// Returns the example rules with the public keys of these owners.
 std::string embeddedRules(const OwnerKeyPairs &Owners);
 
+/// The simulated platform with its own event loop.
 class EmbeddedPlatform {
 public:
-  /// A pool's hosts, their number and where they stand, are those of
-  /// firstRules().
+  /// \p Options must match the rules given to start(); see
+  /// embeddedPlatformOptions().
   EmbeddedPlatform(const Clock &TimeSource, const standin::Options &Options,
                    OwnerKeyPairs Owners);
   ~EmbeddedPlatform();
 
-  /// Starts the stand-ins and writes the first version of \p RulesText, signed
-  /// by both owners, into their store.
+  /// Starts the platform and stores \p RulesText as version 1 of the rules,
+  /// signed by both owners.
   absl::Status start(const std::string &RulesText);
 
-  /// Ends the stand-ins' thread.
+  /// Stops the platform's thread.
   void stop();
 
-  /// Port of store, host list and the stand-ins' control, after start().
+  /// Port of the store, the host list and the test controls, valid after
+  /// start().
   std::uint16_t port() const;
 
-  /// Settings of an entry on loopback that uses the stand-ins, after start().
+  /// Options of an entry on loopback that uses this platform, valid after
+  /// start().
   DaemonOptions entryOptions(const std::string &Entry) const;
 
   const OwnerKeyPairs &owners() const;
@@ -58,7 +61,7 @@
   std::unique_ptr<Impl> Pimpl;
 };
 
-/// Options for the stand-ins that fit firstRules().
+/// Returns options of a platform that match embeddedRules().
 standin::Options embeddedPlatformOptions();
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
@@ -40,6 +40,7 @@
   std::function<void(DecisionInput)> PushToEngine;
 };
 
+/// Owns the fleet controller and the rules adoption, and their thread.
 class FleetThread {
 public:
   FleetThread(const fleet::ControllerOptions &Options,
--- a/Source/Daemon/include/balsamlatch/Daemon/MetricsPage.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/MetricsPage.h
@@ -13,7 +13,7 @@
 
 namespace balsamlatch::daemon {
 
-/// Fill and refusals of one ring that joins two threads.
+/// Fill level and rejected items of one ring buffer between two threads.
 struct RingStatus {
   std::string_view Name;
   std::size_t Fill = 0;
@@ -21,8 +21,8 @@
 };
 using RingStatuses = std::vector<RingStatus>;
 
-/// The body of /metrics, in the text format of Prometheus. Labels are pools,
-/// outcomes, entries and ring names only.
+/// Returns the body of /metrics in the Prometheus text format. Label
+/// values are pool names, ring names and fixed codes only.
 std::string metricsPage(const DaemonStatus &Status, const RingStatuses &Rings);
 
 } // namespace balsamlatch::daemon
--- a/Source/Daemon/include/balsamlatch/Daemon/OperatorServer.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/OperatorServer.h
@@ -24,9 +24,10 @@
 
 namespace balsamlatch::daemon {
 
+/// HTTP server for operators.
 class OperatorServer {
 public:
-  OperatorServer(EventLoop &Control, const Address &ListenAddress,
+  OperatorServer(EventLoop &ControlLoop, const Address &ListenAddress,
                  EntryIdentity Identity, const Clock &TimeSource,
                  const DecisionHistory &History, const DaemonStatus &Status,
                  LogSink &Sink);
@@ -57,7 +58,7 @@
   void handleOrder(http::Exchange Call);
   void expireOrders();
 
-  EventLoop &Control;
+  EventLoop &ControlLoop;
   const EntryIdentity Identity;
   wire::OwnerOrderChecker Checker;
   const Clock &TimeSource;
--- a/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
@@ -45,6 +45,7 @@
   std::function<void(fleet::EntriesSeen)> EntryVersionsReported;
 };
 
+/// Peer transport with membership and document exchange.
 class PeerService {
 public:
   struct Options {
@@ -58,7 +59,7 @@
     std::string LedgerKey;
   };
 
-  PeerService(EventLoop &Control, Options Config, const Clock &TimeSource,
+  PeerService(EventLoop &ControlLoop, Options Config, const Clock &TimeSource,
               DaemonStatus &Status, LogSink &Sink, PeerCallbacks Callbacks);
 
   /// Binds the address, contacts the seed peers and starts to probe.
@@ -105,7 +106,7 @@
   void tick();
   void publishPeers();
 
-  EventLoop &Control;
+  EventLoop &ControlLoop;
   const Options Config;
   const Clock &TimeSource;
   DaemonStatus &Status;
--- a/Source/Daemon/include/balsamlatch/Daemon/Settings.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/Settings.h
@@ -1,6 +1,6 @@
 /// \file
-/// The settings of one daemon process, read from an INI file. Everything that
-/// is wrong with a file is reported at once, each finding with its place.
+/// The settings of one daemon process, read from an INI file. All errors of a
+/// file are reported together, each with its position.
 
 #ifndef BALSAMLATCH_DAEMON_SETTINGS_H
 #define BALSAMLATCH_DAEMON_SETTINGS_H
@@ -20,19 +20,19 @@
 
 namespace balsamlatch::daemon {
 
-/// Bounds on what one daemon takes on.
+/// Resource limits of one daemon.
 struct Limits {
   std::size_t BodyBytes = 1'000'000;
   std::size_t Connections = 4096;
-  /// Requests of callers that have no answer yet.
+  /// Requests without an answer.
   std::size_t OpenRequests = 20'000;
   std::size_t QueuedPerPool = 20'000;
-  /// Decisions kept for explain.
+  /// Number of decisions kept for the explain page.
   std::size_t HistoryDecisions = 20'000;
-  /// After SIGTERM: how long new requests are still taken, so that the
-  /// balancer can see that the entry is no longer ready.
+  /// How long new requests are still accepted after SIGTERM, so that the load
+  /// balancer can notice that the entry is no longer ready.
   Duration StopGracePeriod = std::chrono::seconds(2);
-  /// After the grace: how long requests in flight may take to end.
+  /// How long to wait for open requests after the grace period.
   Duration DrainTimeout = std::chrono::seconds(60);
 
   auto operator<=>(const Limits &) const = default;
@@ -47,15 +47,15 @@
   auto operator<=>(const TlsSettings &) const = default;
 };
 
-/// Another entry that this one asks first.
+/// Another entry, contacted at startup to join the group.
 struct SeedPeer {
   EntryName Entry;
-  Address At;
+  Address PeerAddress;
 
   auto operator<=>(const SeedPeer &) const = default;
 };
 
-/// Immutable once read.
+/// The settings of one daemon. Immutable once parsed.
 struct Settings {
   EntryName Entry;
   std::string Region = "region";
@@ -65,12 +65,12 @@
   Address OperatorAddress{"127.0.0.1", 0};
   Address StoreAddress;
   Address HostListAddress;
-  /// Entries to start with; more are learnt from the host list.
+  /// Entries contacted at startup; others are discovered through the host list.
   std::vector<SeedPeer> SeedPeers;
   /// File with the secret that peers share, at least 32 bytes.
   std::string PeerSecretPath;
-  /// The owners that sign the first rules: name and 64 hexadecimal digits of
-  /// the public key.
+  /// The owners that sign the first rules: name and public key as 64
+  /// hexadecimal digits.
   std::map<OwnerName, std::string> GenesisOwners;
   LogLevel MinLogLevel = LogLevel::Info;
   unsigned LogLinesPerReason = 200;
@@ -81,13 +81,14 @@
 };
 
 struct SettingsParseResult {
-  /// To be used only without errors.
+  /// Valid only if Problems has no errors.
   Settings Config;
   Findings Problems;
 };
 
-/// Parses a whole settings text. \p File names it in the findings.
-SettingsParseResult parseSettings(std::string_view File, std::string_view Text);
+/// Parses the text of a settings file. \p FileName appears in the findings.
+SettingsParseResult parseSettings(std::string_view FileName,
+                                  std::string_view Text);
 
 } // namespace balsamlatch::daemon
 
--- a/Source/Daemon/include/balsamlatch/Daemon/StatusPage.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/StatusPage.h
@@ -1,5 +1,5 @@
 /// \file
-/// The JSON documents that operators read: status and explain.
+/// The status and explain pages for operators, as JSON.
 
 #ifndef BALSAMLATCH_DAEMON_STATUSPAGE_H
 #define BALSAMLATCH_DAEMON_STATUSPAGE_H
@@ -14,22 +14,23 @@
 
 namespace balsamlatch::daemon {
 
-/// Who this entry is.
+/// Name and location of this entry.
 struct EntryIdentity {
   EntryName Entry;
   std::string Region;
   DataCentreName DataCentre;
-  /// The stand-ins of the platform run in this process.
+  /// Whether the simulated platform runs in this process.
   bool Embedded = false;
 };
 
-/// The body of /v1/status; with the hosts of the ledger if asked for.
-std::string statusPage(const EntryIdentity &Self, const DaemonStatus &Status,
-                       bool WithHosts);
+/// Returns the body of /v1/status. Lists the hosts of the ledger if \p
+/// WithHosts is set.
+std::string statusPage(const EntryIdentity &Identity,
+                       const DaemonStatus &Status, bool WithHosts);
 
-/// The body of /v1/explain/<subject>.
-std::string explainPage(const EntryIdentity &Self, const DaemonStatus &Status,
-                        std::string_view Subject,
+/// Returns the body of /v1/explain/<subject>.
+std::string explainPage(const EntryIdentity &Identity,
+                        const DaemonStatus &Status, std::string_view Subject,
                         const std::vector<Decision> &Decisions);
 
 } // namespace balsamlatch::daemon
--- a/Tests/Daemon/FleetTest.cpp
+++ b/Tests/Daemon/FleetTest.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Maintenance of hosts under load, and what operators are told of it.
+/// Maintenance of hosts under load, checks of owners' orders, and membership.
 
 #include "Harness.h"
 
@@ -16,8 +16,8 @@
 
 namespace {
 
-boost::json::object host(const Entry &At, std::string_view Name) {
-  const boost::json::value Status = At.status();
+boost::json::object host(const Entry &Target, std::string_view Name) {
+  const boost::json::value Status = Target.status();
   for (const boost::json::value &Host :
        Status.at("ledger").at("hosts").as_array()) {
     if (Host.at("host").as_string() == Name) {
@@ -27,34 +27,34 @@
   return {};
 }
 
-/// Calls again and again from several threads until stopped.
-class Load {
+/// Sends requests from several threads until stopped.
+class BackgroundLoad {
 public:
-  explicit Load(const Entry &At) {
+  explicit BackgroundLoad(const Entry &Target) {
     constexpr int Callers = 8;
     for (int I = 0; I < Callers; ++I) {
-      Threads.emplace_back([this, &At] {
-        while (!Ended) {
-          const http::Response Answer =
-              At.ask("cut-plan", R"({"run_ms":20,"echo":"plan"})");
-          ++(Answer.Status == 200 ? Answered : Lost);
+      Threads.emplace_back([this, &Target] {
+        while (!IsStopped) {
+          const http::Response Response =
+              Target.post("cut-plan", R"({"run_ms":20,"echo":"plan"})");
+          ++(Response.Status == 200 ? Succeeded : Failed);
         }
       });
     }
   }
 
   void stop() {
-    Ended = true;
-    for (std::thread &One : Threads) {
-      One.join();
+    IsStopped = true;
+    for (std::thread &Thread : Threads) {
+      Thread.join();
     }
   }
 
-  std::atomic<unsigned> Answered = 0;
-  std::atomic<unsigned> Lost = 0;
+  std::atomic<unsigned> Succeeded = 0;
+  std::atomic<unsigned> Failed = 0;
 
 private:
-  std::atomic<bool> Ended = false;
+  std::atomic<bool> IsStopped = false;
   std::vector<std::thread> Threads;
 };
 
@@ -65,92 +65,96 @@
 BOOST_AUTO_TEST_CASE(MaintenanceUnderLoadLosesNoRequest) {
   standin::Options Options = daemon::embeddedPlatformOptions();
   Options.RebootTime = std::chrono::milliseconds(200);
-  const Site Place(Options);
-  Entry One(Place.options("one"), Place.clock());
-  Entry Two(Place.options("two"), Place.clock());
-  One.waitReady();
-  Two.waitReady();
-  Load Calls(One);
-  const http::Response Asked = Two.order("drain", "w2", Place.owners().First);
-  BOOST_TEST(Asked.Status == 200U, Asked.Body);
-  waitUntil([&] { return !Place.history("booted", "").empty(); });
+  const TestPlatform Platform(Options);
+  Entry EntryOne(Platform.entryOptions("one"), Platform.clock());
+  Entry EntryTwo(Platform.entryOptions("two"), Platform.clock());
+  EntryOne.waitUntilReady();
+  EntryTwo.waitUntilReady();
+  BackgroundLoad Calls(EntryOne);
+  const http::Response OrderResponse =
+      EntryTwo.sendOrder("drain", "w2", Platform.owners().First);
+  BOOST_TEST(OrderResponse.Status == 200U, OrderResponse.Body);
+  waitUntil([&] { return !Platform.history("booted", "").empty(); });
   waitUntil([&] {
-    const std::string State(host(One, "w2").at("state").as_string());
+    const std::string State(host(EntryOne, "w2").at("state").as_string());
     return State == "on-probation" || State == "in-service";
   });
   Calls.stop();
-  BOOST_TEST(Calls.Lost == 0U);
-  BOOST_TEST(Calls.Answered > 0U);
-  const std::string Story =
-      One.page("/v1/explain/w2").Body + Two.page("/v1/explain/w2").Body;
+  BOOST_TEST(Calls.Failed == 0U);
+  BOOST_TEST(Calls.Succeeded > 0U);
+  const std::string Explanation =
+      EntryOne.get("/v1/explain/w2").Body + EntryTwo.get("/v1/explain/w2").Body;
   for (const char *Step : {"host-leaving", "host-drained", "host-rebooting"}) {
-    BOOST_TEST(Story.find(Step) != std::string::npos, Step);
+    BOOST_TEST(Explanation.find(Step) != std::string::npos, Step);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ADrainBeyondTheBudgetIsRefusedWithItsReason) {
+BOOST_AUTO_TEST_CASE(ADrainBeyondTheBudgetIsRejected) {
   standin::Options Options = daemon::embeddedPlatformOptions();
-  // The first host stays away.
+  // The first host stays in maintenance.
   Options.RebootTime = std::chrono::hours(1);
-  const Site Place(Options);
-  Entry One(Place.options("one"), Place.clock());
-  One.waitReady();
-  BOOST_TEST(One.order("drain", "w2", Place.owners().First).Status == 200U);
+  const TestPlatform Platform(Options);
+  Entry EntryOne(Platform.entryOptions("one"), Platform.clock());
+  EntryOne.waitUntilReady();
+  BOOST_TEST(
+      EntryOne.sendOrder("drain", "w2", Platform.owners().First).Status ==
+      200U);
   waitUntil([&] {
-    return host(One, "w2").at("state").as_string() == "in-maintenance";
+    return host(EntryOne, "w2").at("state").as_string() == "in-maintenance";
   });
-  const http::Response Second = One.order("drain", "w7", Place.owners().Second);
-  BOOST_TEST(Second.Status == 409U, Second.Body);
-  BOOST_TEST(host(One, "w7").at("state").as_string() == "in-service");
+  const http::Response SecondResponse =
+      EntryOne.sendOrder("drain", "w7", Platform.owners().Second);
+  BOOST_TEST(SecondResponse.Status == 409U, SecondResponse.Body);
+  BOOST_TEST(host(EntryOne, "w7").at("state").as_string() == "in-service");
 }
 
 BOOST_AUTO_TEST_CASE(OrdersAreChecked) {
-  const Site Place;
-  Entry One(Place.options("one"), Place.clock());
-  Entry Two(Place.options("two"), Place.clock());
-  One.waitReady();
-  Two.waitReady();
-  const PrivateKey &Owner = Place.owners().First;
-  BOOST_TEST(One.postOrder("{", {}).Status == 400U);
-  BOOST_TEST(One.order("melt", "w1", Owner).Status == 400U);
-  BOOST_TEST(One.order("drain", "", Owner).Status == 400U);
-  BOOST_TEST(One.order("move", "w1", Owner).Status == 400U);
-  BOOST_TEST(One.order("drain", "no-host", Owner).Status >= 400U);
-
-  const absl::StatusOr<PrivateKey> Stranger = PrivateKey::generate();
-  BOOST_REQUIRE(Stranger.ok());
-  BOOST_TEST(One.order("halt", "", *Stranger).Status == 401U);
+  const TestPlatform Platform;
+  Entry EntryOne(Platform.entryOptions("one"), Platform.clock());
+  Entry EntryTwo(Platform.entryOptions("two"), Platform.clock());
+  EntryOne.waitUntilReady();
+  EntryTwo.waitUntilReady();
+  const PrivateKey &Owner = Platform.owners().First;
+  BOOST_TEST(EntryOne.postOrder("{", {}).Status == 400U);
+  BOOST_TEST(EntryOne.sendOrder("melt", "w1", Owner).Status == 400U);
+  BOOST_TEST(EntryOne.sendOrder("drain", "", Owner).Status == 400U);
+  BOOST_TEST(EntryOne.sendOrder("move", "w1", Owner).Status == 400U);
+  BOOST_TEST(EntryOne.sendOrder("drain", "no-host", Owner).Status >= 400U);
+
+  const absl::StatusOr<PrivateKey> UnknownKey = PrivateKey::generate();
+  BOOST_REQUIRE(UnknownKey.ok());
+  BOOST_TEST(EntryOne.sendOrder("halt", "", *UnknownKey).Status == 401U);
 
   wire::OwnerOrder Order;
   Order.Verb = "halt";
   Order.Entry = EntryName("one");
-  Order.SentAt = Place.clock().wallNow();
+  Order.SentAt = Platform.clock().wallNow();
   Order.Nonce = "n";
   const std::string Body = wire::encodeOrder(Order);
   const http::Fields Headers = {
       {wire::OwnerKeyHeader, toHex(Owner.publicKey())},
       {wire::OwnerSignatureHeader, toHex(wire::signOrder(Body, Owner))}};
-  BOOST_TEST(One.postOrder(Body, {}).Status == 401U);
-  BOOST_TEST(One.postOrder(Body + " ", Headers).Status == 401U);
-  BOOST_TEST(Two.postOrder(Body, Headers).Status == 401U);
-  BOOST_TEST(One.postOrder(Body, Headers).Status == 200U);
-  BOOST_TEST(One.postOrder(Body, Headers).Status == 409U);
+  BOOST_TEST(EntryOne.postOrder(Body, {}).Status == 401U);
+  BOOST_TEST(EntryOne.postOrder(Body + " ", Headers).Status == 401U);
+  BOOST_TEST(EntryTwo.postOrder(Body, Headers).Status == 401U);
+  BOOST_TEST(EntryOne.postOrder(Body, Headers).Status == 200U);
+  BOOST_TEST(EntryOne.postOrder(Body, Headers).Status == 409U);
 }
 
 BOOST_AUTO_TEST_CASE(EntriesKnowEachOther) {
-  const Site Place;
-  Entry One(Place.options("one"), Place.clock());
-  daemon::DaemonOptions Options = Place.options("two");
+  const TestPlatform Platform;
+  Entry EntryOne(Platform.entryOptions("one"), Platform.clock());
+  daemon::DaemonOptions Options = Platform.entryOptions("two");
   Options.Config.SeedPeers = {
-      {EntryName("one"), Address{"127.0.0.1", One->peersPort()}}};
-  Entry Two(Options, Place.clock());
-  const auto Sees = [](const Entry &At, std::size_t Count) {
-    return At.status().at("entries").as_array().size() == Count;
+      {EntryName("one"), Address{"127.0.0.1", EntryOne->peersPort()}}};
+  Entry EntryTwo(Options, Platform.clock());
+  const auto HasEntries = [](const Entry &Target, std::size_t Count) {
+    return Target.status().at("entries").as_array().size() == Count;
   };
-  waitUntil([&] { return Sees(One, 2) && Sees(Two, 2); });
-  Two->requestStop();
-  BOOST_TEST(Two->wait());
-  waitUntil([&] { return Sees(One, 1); });
+  waitUntil([&] { return HasEntries(EntryOne, 2) && HasEntries(EntryTwo, 2); });
+  EntryTwo->requestStop();
+  BOOST_TEST(EntryTwo->wait());
+  waitUntil([&] { return HasEntries(EntryOne, 1); });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Daemon/Harness.cpp
+++ b/Tests/Daemon/Harness.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Starts entries and stand-ins for tests.
+/// Starts entries and a simulated platform for tests.
 
 #include "Harness.h"
 
@@ -15,20 +15,20 @@
 
 namespace {
 
-/// Far above what any call of the tests takes.
+/// Longer than any request of the tests takes.
 constexpr Duration CallTimeout = std::chrono::minutes(4);
 
 http::Response call(std::uint16_t Port, http::Request Message) {
-  http::Outcome Came =
+  http::Outcome Result =
       http::callOnce("127.0.0.1", Port, std::move(Message), CallTimeout);
-  if (!Came.Status.ok()) {
-    return {0, {}, std::string(Came.Status.message())};
+  if (!Result.Status.ok()) {
+    return {0, {}, std::string(Result.Status.message())};
   }
-  return std::move(Came.Answer);
+  return std::move(Result.Answer);
 }
 
-http::Response callerCall(std::uint16_t Port, const std::string &Job,
-                          std::string Body, http::Fields Headers) {
+http::Response postJob(std::uint16_t Port, const std::string &Job,
+                       std::string Body, http::Fields Headers) {
   http::Request Message;
   Message.Method = "POST";
   Message.Target = "/v1/jobs/" + Job;
@@ -39,46 +39,47 @@
 
 } // namespace
 
-void waitUntil(const std::function<bool()> &Holds) {
-  while (!Holds()) {
+void waitUntil(const std::function<bool()> &Condition) {
+  while (!Condition()) {
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
 }
 
 Entry::Entry(DaemonOptions Options, const Clock &Time)
     : TimeSource(Time), Name(Options.Config.Entry.Text),
-      Process(std::make_unique<Daemon>(std::move(Options), Time, Sink)) {
-  const absl::Status Started = Process->start();
-  BOOST_REQUIRE_MESSAGE(Started.ok(), std::string(Started.message()));
+      Instance(std::make_unique<Daemon>(std::move(Options), Time, Sink)) {
+  const absl::Status StartStatus = Instance->start();
+  BOOST_REQUIRE_MESSAGE(StartStatus.ok(), std::string(StartStatus.message()));
 }
 
 Entry::~Entry() = default;
 
-http::Response Entry::ask(const std::string &Job, std::string Body,
-                          http::Fields Headers) const {
-  return callerCall(Process->callersPort(), Job, std::move(Body),
-                    std::move(Headers));
+http::Response Entry::post(const std::string &Job, std::string Body,
+                           http::Fields Headers) const {
+  return postJob(Instance->callersPort(), Job, std::move(Body),
+                 std::move(Headers));
 }
 
-std::future<http::Response> Entry::askLater(const std::string &Job,
-                                            std::string Body,
-                                            http::Fields Headers) const {
-  return std::async(std::launch::async, callerCall, Process->callersPort(), Job,
+std::future<http::Response> Entry::postAsync(const std::string &Job,
+                                             std::string Body,
+                                             http::Fields Headers) const {
+  return std::async(std::launch::async, postJob, Instance->callersPort(), Job,
                     std::move(Body), std::move(Headers));
 }
 
-http::Response Entry::page(const std::string &Target) const {
+http::Response Entry::get(const std::string &Target) const {
   http::Request Message;
   Message.Target = Target;
-  return call(Process->operatorsPort(), std::move(Message));
+  return call(Instance->operatorsPort(), std::move(Message));
 }
 
 boost::json::value Entry::status() const {
-  return boost::json::parse(page("/v1/status?hosts=1").Body);
+  return boost::json::parse(get("/v1/status?hosts=1").Body);
 }
 
-http::Response Entry::order(const std::string &Verb, const std::string &Host,
-                            const PrivateKey &Key) const {
+http::Response Entry::sendOrder(const std::string &Verb,
+                                const std::string &Host,
+                                const PrivateKey &Key) const {
   static std::atomic<unsigned> Number = 0;
   wire::OwnerOrder Order;
   Order.Verb = Verb;
@@ -99,30 +100,30 @@
   Message.Target = "/v1/fleet/orders";
   Message.Headers = std::move(Headers);
   Message.Body = Body;
-  return call(Process->operatorsPort(), std::move(Message));
+  return call(Instance->operatorsPort(), std::move(Message));
 }
 
-void Entry::waitReady() const {
-  waitUntil([this] { return Process->isReady(); });
+void Entry::waitUntilReady() const {
+  waitUntil([this] { return Instance->isReady(); });
 }
 
-Site::Site(const standin::Options &Options) {
+TestPlatform::TestPlatform(const standin::Options &Options) {
   absl::StatusOr<OwnerKeyPairs> Owners = generateOwnerKeys();
   BOOST_REQUIRE(Owners.ok());
   const std::string Rules = embeddedRules(*Owners);
   Platform = std::make_unique<EmbeddedPlatform>(TimeSource, Options,
                                                 *std::move(Owners));
-  const absl::Status Started = Platform->start(Rules);
-  BOOST_REQUIRE_MESSAGE(Started.ok(), std::string(Started.message()));
+  const absl::Status StartStatus = Platform->start(Rules);
+  BOOST_REQUIRE_MESSAGE(StartStatus.ok(), std::string(StartStatus.message()));
 }
 
-DaemonOptions Site::options(const std::string &Name) const {
+DaemonOptions TestPlatform::entryOptions(const std::string &Name) const {
   DaemonOptions Options = Platform->entryOptions(Name);
   Options.Config.ResourceLimits.StopGracePeriod = Duration::zero();
   return Options;
 }
 
-void Site::faults(const std::string &Body) const {
+void TestPlatform::injectFaults(const std::string &Body) const {
   http::Request Message;
   Message.Method = "POST";
   Message.Target = "/control/faults";
@@ -131,23 +132,23 @@
   BOOST_REQUIRE_EQUAL(Answer.Status, 200U);
 }
 
-std::vector<boost::json::object> Site::history(std::string_view Event,
-                                               std::string_view Id) const {
+std::vector<boost::json::object>
+TestPlatform::history(std::string_view Event, std::string_view Id) const {
   http::Request Message;
   Message.Target = "/control/history";
   std::istringstream Lines(call(Platform->port(), std::move(Message)).Body);
-  std::vector<boost::json::object> Found;
+  std::vector<boost::json::object> Records;
   for (std::string Line; std::getline(Lines, Line);) {
-    boost::json::object Told = boost::json::parse(Line).as_object();
-    const boost::json::value *Named = Told.if_contains("id");
-    const bool IsMeant =
-        Id.empty() ||
-        (Named != nullptr && Named->is_string() && Named->get_string() == Id);
-    if (Told.at("event").as_string() == Event && IsMeant) {
-      Found.push_back(std::move(Told));
+    boost::json::object Record = boost::json::parse(Line).as_object();
+    const boost::json::value *IdMember = Record.if_contains("id");
+    const bool MatchesId =
+        Id.empty() || (IdMember != nullptr && IdMember->is_string() &&
+                       IdMember->get_string() == Id);
+    if (Record.at("event").as_string() == Event && MatchesId) {
+      Records.push_back(std::move(Record));
     }
   }
-  return Found;
+  return Records;
 }
 
 } // namespace balsamlatch::daemon::test
--- a/Tests/Daemon/Harness.h
+++ b/Tests/Daemon/Harness.h
@@ -1,6 +1,6 @@
 /// \file
-/// Entries in this process with the stand-ins of the platform, on free ports
-/// of loopback.
+/// Test fixture: entries and a simulated platform in this process, on free
+/// loopback ports.
 
 #ifndef BALSAMLATCH_TESTS_DAEMON_HARNESS_H
 #define BALSAMLATCH_TESTS_DAEMON_HARNESS_H
@@ -21,56 +21,57 @@
 
 namespace balsamlatch::daemon::test {
 
-/// Waits until the condition holds. Only CTest's limit ends a wait that never
-/// comes true, so that no test depends on the machine's speed.
-void waitUntil(const std::function<bool()> &Holds);
+/// Waits until the condition holds. Only CTest's timeout ends a wait for a
+/// condition that never holds, so that no test depends on the machine's speed.
+void waitUntil(const std::function<bool()> &Condition);
 
-/// One entry. Stops at the end of its scope.
+/// An entry in this process. The destructor stops it.
 class Entry {
 public:
   Entry(DaemonOptions Options, const Clock &TimeSource);
   ~Entry();
 
-  Daemon &operator*() { return *Process; }
-  Daemon *operator->() { return Process.get(); }
+  Daemon &operator*() { return *Instance; }
+  Daemon *operator->() { return Instance.get(); }
 
-  /// Calls POST /v1/jobs/<job>.
-  http::Response ask(const std::string &Job, std::string Body,
-                     http::Fields Headers = {}) const;
-  std::future<http::Response> askLater(const std::string &Job, std::string Body,
-                                       http::Fields Headers = {}) const;
+  /// Sends POST /v1/jobs/<job>.
+  http::Response post(const std::string &Job, std::string Body,
+                      http::Fields Headers = {}) const;
+  std::future<http::Response> postAsync(const std::string &Job,
+                                        std::string Body,
+                                        http::Fields Headers = {}) const;
 
-  /// A page for operators.
-  http::Response page(const std::string &Target) const;
+  /// Requests an operator page.
+  http::Response get(const std::string &Target) const;
   boost::json::value status() const;
-  /// An owner's order, signed with the key and for this entry.
-  http::Response order(const std::string &Verb, const std::string &Host,
-                       const PrivateKey &Key) const;
-  /// Posts an order with these owner's headers.
+  /// Sends an order to this entry, signed with an owner's key.
+  http::Response sendOrder(const std::string &Verb, const std::string &Host,
+                           const PrivateKey &Key) const;
+  /// Sends an order with the given signature headers.
   http::Response postOrder(const std::string &Body, http::Fields Headers) const;
 
-  void waitReady() const;
+  void waitUntilReady() const;
 
 private:
   NullLog Sink;
   const Clock &TimeSource;
   const std::string Name;
-  std::unique_ptr<Daemon> Process;
+  std::unique_ptr<Daemon> Instance;
 };
 
-/// The stand-ins with rules signed by both owners.
-class Site {
+/// A simulated platform with rules signed by both owners.
+class TestPlatform {
 public:
-  /// \p RulesText empty: firstRules().
-  explicit Site(const standin::Options &Options = embeddedPlatformOptions());
+  explicit TestPlatform(
+      const standin::Options &Options = embeddedPlatformOptions());
 
   const Clock &clock() const { return TimeSource; }
-  DaemonOptions options(const std::string &Name) const;
+  DaemonOptions entryOptions(const std::string &Name) const;
 
-  /// Tells the stand-ins to show faults; see Help/standin.
-  void faults(const std::string &Body) const;
-  /// Lines of the stand-ins' history with this event and, unless empty, of the
-  /// request with this "id" in its body.
+  /// Injects faults into the simulated platform; see Help/standin.
+  void injectFaults(const std::string &Body) const;
+  /// Returns the records of the platform's history with this event and, unless
+  /// \p Id is empty, with this "id" in the body of the request.
   std::vector<boost::json::object> history(std::string_view Event,
                                            std::string_view Id) const;
 
