--- a/Source/Tool/ChainOptions.cpp
+++ b/Source/Tool/ChainOptions.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// What the commands on the chain of rules have in common.
+/// Implements the options, lookups and output that the commands on the chain of
+/// rules share.
 
 #include "ChainOptions.h"
 
@@ -16,7 +17,8 @@
 namespace {
 
 constexpr std::size_t NonceBytes = 16;
-constexpr std::size_t ShortestId = 4;
+/// Shortest prefix by which a proposal can be named.
+constexpr std::size_t MinIdPrefixLength = 4;
 
 absl::StatusOr<std::optional<OwnerKeys>>
 trustedKeys(const cxxopts::ParseResult &Options) {
@@ -25,15 +27,15 @@
   }
   const std::string Text = Options["owners"].as<std::string>();
   const std::size_t Comma = Text.find(',');
-  const absl::StatusOr<PublicKey> A =
+  const absl::StatusOr<PublicKey> FirstKey =
       parseHex<PublicKey>(Text.substr(0, Comma));
-  const absl::StatusOr<PublicKey> B = parseHex<PublicKey>(
+  const absl::StatusOr<PublicKey> SecondKey = parseHex<PublicKey>(
       Comma == std::string::npos ? "" : Text.substr(Comma + 1));
-  if (!A.ok() || !B.ok() || *A == *B) {
+  if (!FirstKey.ok() || !SecondKey.ok() || *FirstKey == *SecondKey) {
     return usageError(
         "--owners takes two different public keys with a comma between them");
   }
-  return ownerKeys(*A, *B);
+  return ownerKeys(*FirstKey, *SecondKey);
 }
 
 } // namespace
@@ -50,8 +52,8 @@
                         cxxopts::value<std::string>(), "FILE");
 }
 
-absl::StatusOr<OpenChain> OpenChain::open(const cxxopts::ParseResult &Options,
-                                          const ToolIo &Io) {
+absl::StatusOr<ChainConnection>
+ChainConnection::open(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   if (Options.count("store") == 0) {
     return usageError("--store is missing");
   }
@@ -64,10 +66,10 @@
   if (!Caller.ok()) {
     return Caller.status();
   }
-  return OpenChain(*std::move(Caller), *std::move(Trusted));
+  return ChainConnection(*std::move(Caller), *std::move(Trusted));
 }
 
-absl::StatusOr<PrivateKey> keyOf(const cxxopts::ParseResult &Options) {
+absl::StatusOr<PrivateKey> readOwnerKey(const cxxopts::ParseResult &Options) {
   if (Options.count("key") == 0) {
     return usageError("--key is missing");
   }
@@ -77,7 +79,7 @@
 absl::StatusOr<std::string> randomNonce() {
   std::array<std::uint8_t, NonceBytes> Bytes{};
   if (RAND_bytes(Bytes.data(), static_cast<int>(Bytes.size())) != 1) {
-    return absl::InternalError("the system gives no random numbers");
+    return absl::InternalError("the system's random number generator failed");
   }
   return toHex(Bytes.data(), Bytes.size());
 }
@@ -89,47 +91,48 @@
       return Owner.Owner.Text;
     }
   }
-  constexpr std::size_t Shown = 12;
-  return fmt::format("key {}...", Digits.substr(0, Shown));
+  constexpr std::size_t ShownDigits = 12;
+  return fmt::format("key {}...", Digits.substr(0, ShownDigits));
 }
 
-absl::StatusOr<std::string> onlyArgument(const cxxopts::ParseResult &Options,
-                                         std::string_view What) {
-  const std::vector<std::string> Words = argumentsOf(Options);
-  if (Words.size() != 1) {
-    return usageError(fmt::format("name one {}", What));
+absl::StatusOr<std::string> singleArgument(const cxxopts::ParseResult &Options,
+                                           std::string_view ArgumentKind) {
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  if (Arguments.size() != 1) {
+    return usageError(fmt::format("name one {}", ArgumentKind));
   }
-  return Words.front();
+  return Arguments.front();
 }
 
-absl::StatusOr<SignedChange> findProposal(const Proposals &All,
+absl::StatusOr<SignedChange> findProposal(const Proposals &List,
                                           std::string_view Id) {
-  std::optional<SignedChange> Found;
-  for (const SignedChange &Subject : All.Open) {
-    if (Id.size() < ShortestId ||
-        !proposalId(Subject.Content).starts_with(Id)) {
+  std::optional<SignedChange> Match;
+  for (const SignedChange &Proposal : List.Open) {
+    if (Id.size() < MinIdPrefixLength ||
+        !proposalId(Proposal.Content).starts_with(Id)) {
       continue;
     }
-    if (Found) {
+    if (Match) {
       return absl::FailedPreconditionError(
           fmt::format("more than one proposal starts with '{}'", Id));
     }
-    Found = Subject;
+    Match = Proposal;
   }
-  if (Found) {
-    return *std::move(Found);
+  if (Match) {
+    return *std::move(Match);
   }
-  for (const ClosedProposal &Gone : All.Closed) {
-    if (Gone.Id == Id) {
-      return absl::FailedPreconditionError(
-          fmt::format("proposal {} was {} by {}", Id, Gone.How, Gone.By.Text));
+  for (const ClosedProposal &Closed : List.Closed) {
+    if (Closed.Id == Id) {
+      return absl::FailedPreconditionError(fmt::format(
+          "proposal {} was {} by {}", Id, Closed.How, Closed.By.Text));
     }
   }
   return absl::NotFoundError(fmt::format("no open proposal is named '{}'", Id));
 }
 
-ExitCode report(const cxxopts::ParseResult &Options, const ToolIo &Io,
-                const boost::json::object &Object, const std::string &Text) {
+ExitCode printResult(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                     const boost::json::object &Object,
+                     const std::string &Text) {
   if (Options.count("json") != 0) {
     Io.Out << boost::json::serialize(Object) << '\n';
   } else {
@@ -138,18 +141,18 @@
   return ExitCode::Done;
 }
 
-ExitCode fail(const cxxopts::ParseResult &Options, const ToolIo &Io,
-              std::string_view Name, const absl::Status &Why) {
-  const std::string Message = messageOf(Why);
+ExitCode reportError(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                     std::string_view CommandName, const absl::Status &Error) {
+  const std::string Message = messageOf(Error);
   if (Options.count("json") != 0) {
     Io.Out << boost::json::serialize(boost::json::object{{"error", Message}})
            << '\n';
   }
-  Io.Err << fmt::format("balsamlatch {}: {}\n", Name, Message);
-  if (isUsageError(Why)) {
+  Io.Err << fmt::format("balsamlatch {}: {}\n", CommandName, Message);
+  if (isUsageError(Error)) {
     return ExitCode::Usage;
   }
-  if (absl::IsUnavailable(Why) || absl::IsDeadlineExceeded(Why)) {
+  if (absl::IsUnavailable(Error) || absl::IsDeadlineExceeded(Error)) {
     return ExitCode::Unavailable;
   }
   return ExitCode::Refused;
--- a/Source/Tool/ChainOptions.h
+++ b/Source/Tool/ChainOptions.h
@@ -1,6 +1,5 @@
 /// \file
-/// What the commands on the chain of rules have in common: their options, the
-/// opened store and the owner who runs them.
+/// Options, lookups and output that the commands on the chain of rules share.
 
 #ifndef BALSAMLATCH_TOOL_CHAINOPTIONS_H
 #define BALSAMLATCH_TOOL_CHAINOPTIONS_H
@@ -21,49 +20,54 @@
 /// Adds --key.
 void addKeyOption(cxxopts::Options &Options);
 
-/// The store that the options name, opened.
-class OpenChain {
+/// The chain in the store that --store names, with the connection to the store.
+class ChainConnection {
 public:
-  static absl::StatusOr<OpenChain> open(const cxxopts::ParseResult &Options,
-                                        const ToolIo &Io);
+  static absl::StatusOr<ChainConnection>
+  open(const cxxopts::ParseResult &Options, const ToolIo &Io);
 
   ChainStore &operator*() { return Chain; }
   ChainStore *operator->() { return &Chain; }
 
 private:
-  OpenChain(std::unique_ptr<StoreCaller> Opened,
-            std::optional<OwnerKeys> Trusted)
+  ChainConnection(std::unique_ptr<StoreCaller> Opened,
+                  std::optional<OwnerKeys> Trusted)
       : Caller(std::move(Opened)), Chain(*Caller, std::move(Trusted)) {}
 
-  // Invariant: outlives Chain, which refers to it.
+  // Declared before Chain, which refers to it.
   std::unique_ptr<StoreCaller> Caller;
   ChainStore Chain;
 };
 
-/// The key file named by --key.
-absl::StatusOr<PrivateKey> keyOf(const cxxopts::ParseResult &Options);
+/// Reads the private key from the file that --key names.
+absl::StatusOr<PrivateKey> readOwnerKey(const cxxopts::ParseResult &Options);
 
-/// Random digits that make a change different from all others.
+/// Random hexadecimal digits that make a change or order unique.
 absl::StatusOr<std::string> randomNonce();
 
-/// Name of the key's owner in the text, or the key's first digits.
+/// Name of the key's owner according to the rules text; the key's first digits
+/// if no owner line has the key.
 std::string ownerName(std::string_view Text, const PublicKey &Key);
 
-/// The only word after the command. InvalidArgument asks for \p What.
-absl::StatusOr<std::string> onlyArgument(const cxxopts::ParseResult &Options,
-                                         std::string_view What);
+/// The only positional argument. A usage error that asks for an \p ArgumentKind
+/// if there is none or more than one.
+absl::StatusOr<std::string> singleArgument(const cxxopts::ParseResult &Options,
+                                           std::string_view ArgumentKind);
 
-/// The open proposal whose name starts with \p Id.
-absl::StatusOr<SignedChange> findProposal(const Proposals &All,
+/// The open proposal whose id starts with \p Id, which has at least 4 digits.
+/// FailedPrecondition if several match or the proposal was closed.
+absl::StatusOr<SignedChange> findProposal(const Proposals &List,
                                           std::string_view Id);
 
-/// Prints the object with --json, else the text.
-ExitCode report(const cxxopts::ParseResult &Options, const ToolIo &Io,
-                const boost::json::object &Object, const std::string &Text);
+/// Prints \p Object with --json, otherwise \p Text.
+ExitCode printResult(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                     const boost::json::object &Object,
+                     const std::string &Text);
 
-/// Prints the message, and as JSON with --json, and chooses the exit code.
-ExitCode fail(const cxxopts::ParseResult &Options, const ToolIo &Io,
-              std::string_view Name, const absl::Status &Why);
+/// Prints the error to the error output, with --json also as JSON to the
+/// standard output, and returns the exit code for it.
+ExitCode reportError(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                     std::string_view CommandName, const absl::Status &Error);
 
 } // namespace balsamlatch
 
--- a/Source/Tool/ChainStore.cpp
+++ b/Source/Tool/ChainStore.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Reading and extending the chain of rules in the store.
+/// Implements reads of the rules chain and its extension by compare-and-swap
+/// with retries.
 
 #include "ChainStore.h"
 
@@ -14,28 +15,30 @@
 
 namespace {
 
-/// Tries of one command before it gives up.
-constexpr int MaxTries = 10;
-/// The log is a ring of blocks of changes, one store value each.
-constexpr std::uint64_t LogBlockChanges = 16;
-constexpr std::uint64_t LogBlocks = 256;
+/// Attempts of one operation before it fails.
+constexpr int MaxAttempts = 10;
+/// The log of retired changes is a ring of LogBlockCount store values. Each
+/// value holds a block of up to ChangesPerLogBlock changes.
+constexpr std::uint64_t ChangesPerLogBlock = 16;
+constexpr std::uint64_t LogBlockCount = 256;
 
 std::string logKey(RulesVersion Version) {
   return fmt::format("rules/log/{}",
-                     Version.Value / LogBlockChanges % LogBlocks);
+                     Version.Value / ChangesPerLogBlock % LogBlockCount);
 }
 
-bool sameBlock(RulesVersion A, RulesVersion B) {
-  return A.Value / LogBlockChanges == B.Value / LogBlockChanges;
+bool inSameLogBlock(RulesVersion A, RulesVersion B) {
+  return A.Value / ChangesPerLogBlock == B.Value / ChangesPerLogBlock;
 }
 
-absl::Status gaveUp() {
+absl::Status retriesExhausted() {
   return absl::DeadlineExceededError(
-      "the store gave no answer; whether it has written isn't known. Run the "
-      "command again");
+      "the store didn't confirm the write, which may have been applied; run "
+      "the command again");
 }
 
-absl::StatusOr<std::vector<RetiredChange>> parseBlock(const StoreEntry &Entry) {
+absl::StatusOr<std::vector<RetiredChange>>
+parseLogBlock(const StoreEntry &Entry) {
   return Entry.present() ? parseRetired(Entry.Value)
                          : std::vector<RetiredChange>();
 }
@@ -44,29 +47,29 @@
 
 ChainStore::ChainStore(StoreCaller &StoreToCall,
                        std::optional<OwnerKeys> TrustedKeys)
-    : Caller(StoreToCall), Trusted(std::move(TrustedKeys)) {}
+    : Caller(StoreToCall), TrustedOwners(std::move(TrustedKeys)) {}
 
 absl::StatusOr<StoreEntry> ChainStore::read(std::string_view Key) {
-  absl::Status Last;
-  for (int Try = 0; Try < MaxTries; ++Try) {
+  absl::Status LastError;
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     StoreReply Reply = Caller.call(StoreRead{std::string(Key)});
     if (Reply.Status.ok()) {
       return std::move(Reply.Entry);
     }
-    Last = std::move(Reply.Status);
-    if (!absl::IsDeadlineExceeded(Last)) {
+    LastError = std::move(Reply.Status);
+    if (!absl::IsDeadlineExceeded(LastError)) {
       break;
     }
   }
   return absl::UnavailableError(
-      fmt::format("the store can't be read: {}", messageOf(Last)));
+      fmt::format("the store can't be read: {}", messageOf(LastError)));
 }
 
-absl::StatusOr<bool> ChainStore::swap(std::string_view Key,
-                                      std::uint64_t Expected,
-                                      const std::string &Value) {
+absl::StatusOr<bool> ChainStore::compareAndSwap(std::string_view Key,
+                                                std::uint64_t ExpectedVersion,
+                                                const std::string &Value) {
   const StoreReply Reply =
-      Caller.call(StoreSwap{std::string(Key), Expected, Value});
+      Caller.call(StoreSwap{std::string(Key), ExpectedVersion, Value});
   if (Reply.Status.ok()) {
     return true;
   }
@@ -77,9 +80,9 @@
       fmt::format("the store can't be written: {}", messageOf(Reply.Status)));
 }
 
-absl::StatusOr<ChainStore::Loaded> ChainStore::load() {
-  absl::Status Last;
-  for (int Try = 0; Try < MaxTries; ++Try) {
+absl::StatusOr<ChainStore::StoredChain> ChainStore::load() {
+  absl::Status LastError;
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     const absl::StatusOr<StoreEntry> Head = read(HeadKey);
     if (!Head.ok()) {
       return Head.status();
@@ -93,31 +96,32 @@
           "the store has no rules; start with balsamlatch init");
     }
     absl::StatusOr<ChainView> View =
-        viewChain(Head->Value, Base->Value, Trusted);
+        viewChain(Head->Value, Base->Value, TrustedOwners);
     if (View.ok()) {
-      return Loaded{*std::move(View), Head->Version, Base->Version};
+      return StoredChain{*std::move(View), Head->Version, Base->Version};
     }
-    Last = View.status();
-    // The two were read at different times.
-    if (!absl::IsOutOfRange(Last)) {
+    LastError = View.status();
+    // OutOfRange: the head was written between the two reads, so that head and
+    // base don't fit together. Any other error is final.
+    if (!absl::IsOutOfRange(LastError)) {
       break;
     }
   }
   return absl::DataLossError(fmt::format(
-      "the rules in the store can't be trusted: {}", messageOf(Last)));
+      "the rules in the store can't be trusted: {}", messageOf(LastError)));
 }
 
 absl::StatusOr<ChainView> ChainStore::view() {
-  absl::StatusOr<Loaded> Present = load();
-  return Present.ok() ? absl::StatusOr<ChainView>(std::move(Present->View))
-                      : Present.status();
+  absl::StatusOr<StoredChain> Chain = load();
+  return Chain.ok() ? absl::StatusOr<ChainView>(std::move(Chain->View))
+                    : Chain.status();
 }
 
 absl::StatusOr<RulesVersion> ChainStore::start(
     bool Replace,
-    const std::function<absl::StatusOr<ChainView>(RulesVersion)> &Make) {
-  std::string Written;
-  for (int Try = 0; Try < MaxTries; ++Try) {
+    const std::function<absl::StatusOr<ChainView>(RulesVersion)> &MakeChain) {
+  std::string WrittenHead;
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
     const absl::StatusOr<StoreEntry> Head = read(HeadKey);
     const absl::StatusOr<StoreEntry> Base =
         Head.ok() ? read(BaseKey) : Head.status();
@@ -126,177 +130,184 @@
     }
     RulesVersion Version(1);
     if (Head->present()) {
-      const absl::StatusOr<HeadDocument> Old = parseHead(Head->Value);
-      Version = RulesVersion(Old.ok() ? Old->version().Value + 1 : 1);
-      if (Head->Value == Written) {
-        return Old->version();
+      const absl::StatusOr<HeadDocument> StoredHead = parseHead(Head->Value);
+      Version =
+          RulesVersion(StoredHead.ok() ? StoredHead->version().Value + 1 : 1);
+      if (Head->Value == WrittenHead) {
+        return StoredHead->version();
       }
       if (!Replace) {
         return absl::AlreadyExistsError(
             "the store has rules already; propose a change of them");
       }
     }
-    const absl::StatusOr<ChainView> View = Make(Version);
+    const absl::StatusOr<ChainView> View = MakeChain(Version);
     if (!View.ok()) {
       return View.status();
     }
-    absl::StatusOr<bool> Done =
-        swap(BaseKey, Base->Version, printBase(View->Base));
-    if (Done.ok() && *Done) {
-      Written = printHead(View->Head);
-      Done = swap(HeadKey, Head->Version, Written);
+    absl::StatusOr<bool> Swapped =
+        compareAndSwap(BaseKey, Base->Version, printBase(View->Base));
+    if (Swapped.ok() && *Swapped) {
+      WrittenHead = printHead(View->Head);
+      Swapped = compareAndSwap(HeadKey, Head->Version, WrittenHead);
     }
-    if (!Done.ok()) {
-      return Done.status();
+    if (!Swapped.ok()) {
+      return Swapped.status();
     }
-    if (*Done) {
+    if (*Swapped) {
       return Version;
     }
   }
-  return gaveUp();
+  return retriesExhausted();
 }
 
-absl::StatusOr<RulesVersion> ChainStore::land(const SignedChange &Subject,
-                                              const PrivateKey &Lander) {
-  const Digest Name = changeDigest(Subject.Content);
-  for (int Try = 0; Try < MaxTries; ++Try) {
-    const absl::StatusOr<Loaded> Present = load();
-    if (!Present.ok()) {
-      return Present.status();
-    }
-    for (const LandedChange &Landed : Present->View.Head.Changes) {
-      if (changeDigest(Landed.Subject.Content) == Name) {
+absl::StatusOr<RulesVersion> ChainStore::land(const SignedChange &Proposal,
+                                              const PrivateKey &SigningKey) {
+  const Digest ProposalDigest = changeDigest(Proposal.Content);
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
+    const absl::StatusOr<StoredChain> Chain = load();
+    if (!Chain.ok()) {
+      return Chain.status();
+    }
+    for (const LandedChange &Landed : Chain->View.Head.Changes) {
+      if (changeDigest(Landed.Subject.Content) == ProposalDigest) {
         return Landed.Version;
       }
     }
     const absl::StatusOr<LandingPlan> Plan =
-        planLanding(Present->View, Subject, Lander);
+        planLanding(Chain->View, Proposal, SigningKey);
     if (!Plan.ok()) {
       return Plan.status();
     }
-    const absl::StatusOr<bool> Done = tryLanding(*Present, *Plan);
-    if (!Done.ok()) {
-      return Done.status();
+    const absl::StatusOr<bool> Swapped = tryLanding(*Chain, *Plan);
+    if (!Swapped.ok()) {
+      return Swapped.status();
     }
-    if (*Done) {
+    if (*Swapped) {
       return Plan->View.Latest.version();
     }
   }
-  return gaveUp();
+  return retriesExhausted();
 }
 
-absl::StatusOr<bool> ChainStore::tryLanding(const Loaded &Present,
+absl::StatusOr<bool> ChainStore::tryLanding(const StoredChain &Chain,
                                             const LandingPlan &Plan) {
-  const absl::Status Logged = writeRetired(Plan.Retired);
-  if (!Logged.ok()) {
-    return Logged;
+  const absl::Status LogStatus = logRetiredChanges(Plan.Retired);
+  if (!LogStatus.ok()) {
+    return LogStatus;
   }
   if (Plan.BaseChanges) {
-    absl::StatusOr<bool> Done =
-        swap(BaseKey, Present.BaseVersion, printBase(Plan.View.Base));
-    if (!Done.ok() || !*Done) {
-      return Done;
+    absl::StatusOr<bool> Swapped =
+        compareAndSwap(BaseKey, Chain.BaseVersion, printBase(Plan.View.Base));
+    if (!Swapped.ok() || !*Swapped) {
+      return Swapped;
     }
   }
-  return swap(HeadKey, Present.HeadVersion, printHead(Plan.View.Head));
+  return compareAndSwap(HeadKey, Chain.HeadVersion, printHead(Plan.View.Head));
 }
 
 absl::Status
-ChainStore::writeRetired(const std::vector<RetiredChange> &Retired) {
+ChainStore::logRetiredChanges(const std::vector<RetiredChange> &Retired) {
   for (const RetiredChange &Entry : Retired) {
-    absl::Status Added = addToLog(Entry);
-    if (!Added.ok()) {
-      return Added;
+    absl::Status AppendStatus = appendToLog(Entry);
+    if (!AppendStatus.ok()) {
+      return AppendStatus;
     }
   }
   return absl::OkStatus();
 }
 
-absl::Status ChainStore::addToLog(const RetiredChange &Entry) {
+absl::Status ChainStore::appendToLog(const RetiredChange &Entry) {
   const RulesVersion Version = Entry.Landed.Version;
-  for (int Try = 0; Try < MaxTries; ++Try) {
-    const absl::StatusOr<StoreEntry> Present = read(logKey(Version));
-    if (!Present.ok()) {
-      return Present.status();
-    }
-    absl::StatusOr<std::vector<RetiredChange>> Block = parseBlock(*Present);
-    if (!Block.ok()) {
-      Block = std::vector<RetiredChange>();
-    }
-    if (std::find(Block->begin(), Block->end(), Entry) != Block->end()) {
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
+    const absl::StatusOr<StoreEntry> StoredBlock = read(logKey(Version));
+    if (!StoredBlock.ok()) {
+      return StoredBlock.status();
+    }
+    absl::StatusOr<std::vector<RetiredChange>> Entries =
+        parseLogBlock(*StoredBlock);
+    // A block that can't be parsed is replaced.
+    if (!Entries.ok()) {
+      Entries = std::vector<RetiredChange>();
+    }
+    if (std::find(Entries->begin(), Entries->end(), Entry) != Entries->end()) {
       return absl::OkStatus();
     }
-    std::erase_if(*Block, [&](const RetiredChange &Old) {
-      return !sameBlock(Old.Landed.Version, Version) ||
-             Old.Landed.Version == Version;
+    // Drops changes of the ring's previous round and another change that was
+    // logged under this version.
+    std::erase_if(*Entries, [&](const RetiredChange &Existing) {
+      return !inSameLogBlock(Existing.Landed.Version, Version) ||
+             Existing.Landed.Version == Version;
     });
-    Block->push_back(Entry);
-    const absl::StatusOr<bool> Done =
-        swap(logKey(Version), Present->Version, printRetired(*Block));
-    if (!Done.ok()) {
-      return Done.status();
+    Entries->push_back(Entry);
+    const absl::StatusOr<bool> Swapped = compareAndSwap(
+        logKey(Version), StoredBlock->Version, printRetired(*Entries));
+    if (!Swapped.ok()) {
+      return Swapped.status();
     }
-    if (*Done) {
+    if (*Swapped) {
       return absl::OkStatus();
     }
   }
-  return gaveUp();
+  return retriesExhausted();
 }
 
 absl::StatusOr<Proposals> ChainStore::proposals() {
-  const absl::StatusOr<StoreEntry> Present = read(ProposalsKey);
-  if (!Present.ok()) {
-    return Present.status();
+  const absl::StatusOr<StoreEntry> Stored = read(ProposalsKey);
+  if (!Stored.ok()) {
+    return Stored.status();
   }
-  return Present->present() ? parseProposals(Present->Value) : Proposals();
+  return Stored->present() ? parseProposals(Stored->Value) : Proposals();
 }
 
 absl::StatusOr<Proposals> ChainStore::editProposals(
     const std::function<absl::Status(Proposals &)> &Edit) {
-  for (int Try = 0; Try < MaxTries; ++Try) {
-    const absl::StatusOr<StoreEntry> Present = read(ProposalsKey);
-    if (!Present.ok()) {
-      return Present.status();
-    }
-    const absl::StatusOr<Proposals> Old =
-        Present->present() ? parseProposals(Present->Value) : Proposals();
-    if (!Old.ok()) {
-      return Old.status();
-    }
-    Proposals New = *Old;
-    const absl::Status Edited = Edit(New);
-    if (!Edited.ok()) {
+  for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
+    const absl::StatusOr<StoreEntry> Stored = read(ProposalsKey);
+    if (!Stored.ok()) {
+      return Stored.status();
+    }
+    const absl::StatusOr<Proposals> Current =
+        Stored->present() ? parseProposals(Stored->Value) : Proposals();
+    if (!Current.ok()) {
+      return Current.status();
+    }
+    Proposals Edited = *Current;
+    const absl::Status EditStatus = Edit(Edited);
+    if (!EditStatus.ok()) {
+      return EditStatus;
+    }
+    if (Edited.Closed.size() > MaxClosedProposals) {
+      Edited.Closed.erase(Edited.Closed.begin(),
+                          Edited.Closed.end() -
+                              std::ptrdiff_t(MaxClosedProposals));
+    }
+    if (Edited == *Current) {
       return Edited;
     }
-    if (New.Closed.size() > MaxClosedProposals) {
-      New.Closed.erase(New.Closed.begin(),
-                       New.Closed.end() - std::ptrdiff_t(MaxClosedProposals));
-    }
-    if (New == *Old) {
-      return New;
+    const absl::StatusOr<bool> Swapped =
+        compareAndSwap(ProposalsKey, Stored->Version, printProposals(Edited));
+    if (!Swapped.ok()) {
+      return Swapped.status();
     }
-    const absl::StatusOr<bool> Done =
-        swap(ProposalsKey, Present->Version, printProposals(New));
-    if (!Done.ok()) {
-      return Done.status();
-    }
-    if (*Done) {
-      return New;
+    if (*Swapped) {
+      return Edited;
     }
   }
-  return gaveUp();
+  return retriesExhausted();
 }
 
-absl::StatusOr<RetiredChange> ChainStore::logEntry(RulesVersion Version) {
-  const absl::StatusOr<StoreEntry> Present = read(logKey(Version));
-  if (!Present.ok()) {
-    return Present.status();
+absl::StatusOr<RetiredChange> ChainStore::readLogEntry(RulesVersion Version) {
+  const absl::StatusOr<StoreEntry> StoredBlock = read(logKey(Version));
+  if (!StoredBlock.ok()) {
+    return StoredBlock.status();
   }
-  const absl::StatusOr<std::vector<RetiredChange>> Block = parseBlock(*Present);
-  if (!Block.ok()) {
-    return Block.status();
+  const absl::StatusOr<std::vector<RetiredChange>> Entries =
+      parseLogBlock(*StoredBlock);
+  if (!Entries.ok()) {
+    return Entries.status();
   }
-  for (const RetiredChange &Entry : *Block) {
+  for (const RetiredChange &Entry : *Entries) {
     if (Entry.Landed.Version == Version) {
       return Entry;
     }
@@ -305,65 +316,72 @@
       fmt::format("the log has no version {}", Version.Value));
 }
 
-absl::StatusOr<std::string> ChainStore::textOf(const ChainView &View,
-                                               RulesVersion At) {
-  if (At > View.Latest.version() || At < View.Head.First.Version) {
+absl::StatusOr<std::string> ChainStore::textAtVersion(const ChainView &View,
+                                                      RulesVersion Version) {
+  if (Version > View.Latest.version() || Version < View.Head.First.Version) {
     return absl::NotFoundError(fmt::format(
-        "there is no version {}; versions go from {} to {}", At.Value,
+        "there is no version {}; versions go from {} to {}", Version.Value,
         View.Head.First.Version.Value, View.Latest.version().Value));
   }
   absl::StatusOr<ChainState> State = ChainState::fromBase(View.Base);
   for (const LandedChange &Landed : View.Head.Changes) {
-    if (State.ok() && State->version() < At &&
+    if (State.ok() && State->version() < Version &&
         Landed.Version > State->version()) {
       State = State->next(Landed);
     }
   }
-  if (!State.ok() || State->version() == At) {
+  if (!State.ok() || State->version() == Version) {
     return State.ok() ? absl::StatusOr<std::string>(State->text())
                       : State.status();
   }
   std::string Text = State->text();
-  Digest Expected = State->textHash();
-  for (std::uint64_t V = State->version().Value; V > At.Value; --V) {
-    const absl::StatusOr<RetiredChange> Entry = logEntry(RulesVersion(V));
+  Digest ExpectedHash = State->textHash();
+  for (std::uint64_t Number = State->version().Value; Number > Version.Value;
+       --Number) {
+    const absl::StatusOr<RetiredChange> Entry =
+        readLogEntry(RulesVersion(Number));
     if (!Entry.ok()) {
       return Entry.status();
     }
-    if (sha256(Text) != Expected || Entry->Landed.TextHash != Expected) {
-      return absl::DataLossError(
-          fmt::format("the log of version {} isn't true", V));
+    if (sha256(Text) != ExpectedHash ||
+        Entry->Landed.TextHash != ExpectedHash) {
+      return absl::DataLossError(fmt::format(
+          "the log entry of version {} doesn't match the hash of its text",
+          Number));
     }
     Text = applyEdits(Text, Entry->Undo).Text;
-    Expected = View.Latest.textHashAt(RulesVersion(V - 1))
-                   .value_or(V - 1 == View.Head.First.Version.Value
-                                 ? View.Head.First.TextHash
-                                 : sha256(Text));
+    ExpectedHash = View.Latest.textHashAt(RulesVersion(Number - 1))
+                       .value_or(Number - 1 == View.Head.First.Version.Value
+                                     ? View.Head.First.TextHash
+                                     : sha256(Text));
   }
-  return sha256(Text) == Expected ? absl::StatusOr<std::string>(std::move(Text))
-                                  : absl::DataLossError("the log isn't true");
+  return sha256(Text) == ExpectedHash
+             ? absl::StatusOr<std::string>(std::move(Text))
+             : absl::DataLossError("the text rebuilt from the log "
+                                   "doesn't match its hash");
 }
 
 absl::StatusOr<std::vector<LandedChange>>
-ChainStore::history(const ChainView &View, std::size_t Most) {
-  std::vector<LandedChange> Newest;
-  for (std::uint64_t V = View.Latest.version().Value;
-       V > View.Head.First.Version.Value && Newest.size() < Most; --V) {
-    if (V > View.Head.Base.Value) {
-      Newest.push_back(View.Head.Changes[V - View.Head.Base.Value - 1]);
+ChainStore::history(const ChainView &View, std::size_t MaxCount) {
+  std::vector<LandedChange> Changes;
+  for (std::uint64_t Number = View.Latest.version().Value;
+       Number > View.Head.First.Version.Value && Changes.size() < MaxCount;
+       --Number) {
+    if (Number > View.Head.Base.Value) {
+      Changes.push_back(View.Head.Changes[Number - View.Head.Base.Value - 1]);
       continue;
     }
-    absl::StatusOr<RetiredChange> Entry = logEntry(RulesVersion(V));
+    absl::StatusOr<RetiredChange> Entry = readLogEntry(RulesVersion(Number));
     if (absl::IsNotFound(Entry.status())) {
       break;
     }
     if (!Entry.ok()) {
       return Entry.status();
     }
-    Newest.push_back(std::move(Entry->Landed));
+    Changes.push_back(std::move(Entry->Landed));
   }
-  std::reverse(Newest.begin(), Newest.end());
-  return Newest;
+  std::reverse(Changes.begin(), Changes.end());
+  return Changes;
 }
 
 } // namespace balsamlatch
--- a/Source/Tool/Command.h
+++ b/Source/Tool/Command.h
@@ -56,7 +56,8 @@
 const std::vector<Command> &allCommands();
 
 /// The words after the command's name.
-std::vector<std::string> argumentsOf(const cxxopts::ParseResult &Options);
+std::vector<std::string>
+positionalArguments(const cxxopts::ParseResult &Options);
 
 /// Finds the command named by the first word, parses the others and runs it.
 ExitCode runTool(int Count, const char *const *Words, const ToolIo &Io);
--- a/Source/Tool/Commands.cpp
+++ b/Source/Tool/Commands.cpp
@@ -56,7 +56,8 @@
   return All;
 }
 
-std::vector<std::string> argumentsOf(const cxxopts::ParseResult &Options) {
+std::vector<std::string>
+positionalArguments(const cxxopts::ParseResult &Options) {
   return Options.count(ArgumentsOption) != 0
              ? Options[ArgumentsOption].as<std::vector<std::string>>()
              : std::vector<std::string>();
--- a/Source/Tool/EntryClient.cpp
+++ b/Source/Tool/EntryClient.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Calls to entries by HTTP.
+/// Implements the HTTP requests to entries.
 
 #include "EntryClient.h"
 
@@ -15,11 +15,12 @@
 
 namespace {
 
-/// Longer than an entry waits for its controller.
+/// Exceeds the time that an entry waits for its controller, so that the entry's
+/// reply arrives.
 constexpr Duration CallTimeout = std::chrono::seconds(15);
 constexpr std::uint64_t MaxPort = 65'535;
 
-absl::StatusOr<Address> addressOf(const std::string &Text) {
+absl::StatusOr<Address> parseEntryAddress(const std::string &Text) {
   const std::size_t Colon = Text.rfind(':');
   const absl::StatusOr<std::uint64_t> Port =
       Colon == std::string::npos
@@ -32,14 +33,14 @@
 }
 
 absl::StatusOr<http::Response> callEntry(const Address &Entry,
-                                         http::Request Message) {
-  http::Outcome Came =
-      http::callOnce(Entry.Ip, Entry.Port, std::move(Message), CallTimeout);
-  if (!Came.Status.ok()) {
-    return absl::UnavailableError(
-        fmt::format("{}:{}: {}", Entry.Ip, Entry.Port, messageOf(Came.Status)));
+                                         http::Request Request) {
+  http::Outcome Result =
+      http::callOnce(Entry.Ip, Entry.Port, std::move(Request), CallTimeout);
+  if (!Result.Status.ok()) {
+    return absl::UnavailableError(fmt::format("{}:{}: {}", Entry.Ip, Entry.Port,
+                                              messageOf(Result.Status)));
   }
-  return std::move(Came.Answer);
+  return std::move(Result.Answer);
 }
 
 } // namespace
@@ -51,70 +52,70 @@
 }
 
 absl::StatusOr<std::vector<Address>>
-entriesOf(const cxxopts::ParseResult &Options) {
+entryAddresses(const cxxopts::ParseResult &Options) {
   if (Options.count("entry") == 0) {
     return usageError("--entry is missing");
   }
-  std::vector<Address> All;
+  std::vector<Address> Addresses;
   for (const std::string &Text :
        Options["entry"].as<std::vector<std::string>>()) {
-    absl::StatusOr<Address> One = addressOf(Text);
-    if (!One.ok()) {
-      return One.status();
+    absl::StatusOr<Address> EntryAddress = parseEntryAddress(Text);
+    if (!EntryAddress.ok()) {
+      return EntryAddress.status();
     }
-    All.push_back(*std::move(One));
+    Addresses.push_back(*std::move(EntryAddress));
   }
-  return All;
+  return Addresses;
 }
 
-absl::StatusOr<boost::json::object> getPage(const Address &Entry,
-                                            const std::string &Target) {
-  http::Request Message;
-  Message.Target = Target;
-  const absl::StatusOr<http::Response> Answer =
-      callEntry(Entry, std::move(Message));
-  if (!Answer.ok()) {
-    return Answer.status();
+absl::StatusOr<boost::json::object> fetchJson(const Address &Entry,
+                                              const std::string &Target) {
+  http::Request Request;
+  Request.Target = Target;
+  const absl::StatusOr<http::Response> Response =
+      callEntry(Entry, std::move(Request));
+  if (!Response.ok()) {
+    return Response.status();
   }
-  boost::system::error_code Fault;
-  boost::json::value Page = boost::json::parse(Answer->Body, Fault);
-  if (Fault || !Page.is_object()) {
-    return absl::InternalError(
-        fmt::format("{}:{} answered no JSON object", Entry.Ip, Entry.Port));
+  boost::system::error_code Error;
+  boost::json::value Page = boost::json::parse(Response->Body, Error);
+  if (Error || !Page.is_object()) {
+    return absl::InternalError(fmt::format(
+        "{}:{}: the response is not a JSON object", Entry.Ip, Entry.Port));
   }
-  if (Answer->Status != 200) {
+  if (Response->Status != 200) {
     return absl::FailedPreconditionError(
         textMember(Page.get_object(), "message"));
   }
   return std::move(Page.get_object());
 }
 
-absl::StatusOr<http::Response> postTo(const Address &Entry,
-                                      const std::string &Target,
-                                      std::string Body, http::Fields Headers) {
-  http::Request Message;
-  Message.Method = "POST";
-  Message.Target = Target;
-  Message.Body = std::move(Body);
-  Message.Headers = std::move(Headers);
-  return callEntry(Entry, std::move(Message));
+absl::StatusOr<http::Response> post(const Address &Entry,
+                                    const std::string &Target, std::string Body,
+                                    http::Fields Headers) {
+  http::Request Request;
+  Request.Method = "POST";
+  Request.Target = Target;
+  Request.Body = std::move(Body);
+  Request.Headers = std::move(Headers);
+  return callEntry(Entry, std::move(Request));
 }
 
-std::string textMember(const boost::json::object &From,
+std::string textMember(const boost::json::object &Object,
                        std::string_view Member) {
-  const boost::json::value *Found = From.if_contains(Member);
-  return Found != nullptr && Found->is_string()
-             ? std::string(Found->get_string())
+  const boost::json::value *Value = Object.if_contains(Member);
+  return Value != nullptr && Value->is_string()
+             ? std::string(Value->get_string())
              : std::string();
 }
 
-std::uint64_t numberMember(const boost::json::object &From,
+std::uint64_t numberMember(const boost::json::object &Object,
                            std::string_view Member) {
-  const boost::json::value *Found = From.if_contains(Member);
-  boost::system::error_code Fault;
-  const auto Value =
-      Found == nullptr ? 0 : Found->to_number<std::uint64_t>(Fault);
-  return Fault ? 0 : Value;
+  const boost::json::value *Value = Object.if_contains(Member);
+  boost::system::error_code Error;
+  const auto Number =
+      Value == nullptr ? 0 : Value->to_number<std::uint64_t>(Error);
+  return Error ? 0 : Number;
 }
 
 } // namespace balsamlatch
--- a/Source/Tool/EntryClient.h
+++ b/Source/Tool/EntryClient.h
@@ -1,5 +1,6 @@
 /// \file
-/// Calls of the tool to the operators' address of entries.
+/// HTTP requests of the commands to the operators' address of entries, and
+/// access to the members of their JSON responses.
 
 #ifndef BALSAMLATCH_TOOL_ENTRYCLIENT_H
 #define BALSAMLATCH_TOOL_ENTRYCLIENT_H
@@ -19,25 +20,28 @@
 /// Adds --entry, which may be given more than once, and --json.
 void addEntryOptions(cxxopts::Options &Options);
 
-/// The addresses that --entry names. At least one.
+/// The addresses given with --entry, at least one. InvalidArgument if there is
+/// none or one isn't IP:PORT.
 absl::StatusOr<std::vector<Address>>
-entriesOf(const cxxopts::ParseResult &Options);
+entryAddresses(const cxxopts::ParseResult &Options);
 
-/// Gets a page of one entry. Unavailable or DeadlineExceeded: no answer;
-/// Internal: the answer is no JSON object.
-absl::StatusOr<boost::json::object> getPage(const Address &Entry,
-                                            const std::string &Target);
+/// Sends a GET request and returns the JSON object of the response. Unavailable
+/// if no response came; Internal if the response is not a JSON object;
+/// FailedPrecondition with the entry's message if the HTTP status is not 200.
+absl::StatusOr<boost::json::object> fetchJson(const Address &Entry,
+                                              const std::string &Target);
 
-/// Posts to one entry and returns whatever it answers.
-absl::StatusOr<http::Response> postTo(const Address &Entry,
-                                      const std::string &Target,
-                                      std::string Body, http::Fields Headers);
+/// Sends a POST request and returns the response with any HTTP status.
+absl::StatusOr<http::Response> post(const Address &Entry,
+                                    const std::string &Target, std::string Body,
+                                    http::Fields Headers);
 
-/// Text of a member, or an empty text.
-std::string textMember(const boost::json::object &From,
+/// Value of a string member; empty if it is missing or of another type.
+std::string textMember(const boost::json::object &Object,
                        std::string_view Member);
-/// Number of a member, or zero.
-std::uint64_t numberMember(const boost::json::object &From,
+/// Value of a number member; zero if it is missing or not a whole number that
+/// fits.
+std::uint64_t numberMember(const boost::json::object &Object,
                            std::string_view Member);
 
 } // namespace balsamlatch
--- a/Source/Tool/ExplainCommand.cpp
+++ b/Source/Tool/ExplainCommand.cpp
@@ -60,17 +60,17 @@
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<std::string> Subject =
-      onlyArgument(Options, "request or host");
+      singleArgument(Options, "request or host");
   const absl::StatusOr<std::vector<Address>> Entries =
-      Subject.ok() ? entriesOf(Options) : Subject.status();
+      Subject.ok() ? entryAddresses(Options) : Subject.status();
   if (!Entries.ok()) {
-    return fail(Options, Io, "explain", Entries.status());
+    return reportError(Options, Io, "explain", Entries.status());
   }
   std::vector<ToldDecision> Story;
   bool AllAnswered = true;
   for (const Address &Entry : *Entries) {
     const absl::StatusOr<boost::json::object> Page =
-        getPage(Entry, "/v1/explain/" + *Subject);
+        fetchJson(Entry, "/v1/explain/" + *Subject);
     if (Page.ok()) {
       take(*Page, Story);
     } else {
@@ -96,8 +96,8 @@
     Text =
         fmt::format("no entry asked remembers a decision about {}\n", *Subject);
   }
-  report(Options, Io, {{"subject", *Subject}, {"decisions", std::move(List)}},
-         Text);
+  printResult(Options, Io,
+              {{"subject", *Subject}, {"decisions", std::move(List)}}, Text);
   return AllAnswered ? ExitCode::Done : ExitCode::Unavailable;
 }
 
--- a/Source/Tool/FleetCommands.cpp
+++ b/Source/Tool/FleetCommands.cpp
@@ -50,7 +50,7 @@
 absl::Status send(const Address &Entry, wire::OwnerOrder Order,
                   const PrivateKey &Key, const ToolIo &Io) {
   const absl::StatusOr<boost::json::object> Status =
-      getPage(Entry, "/v1/status");
+      fetchJson(Entry, "/v1/status");
   absl::StatusOr<std::string> Nonce =
       Status.ok() ? randomNonce() : Status.status();
   if (!Nonce.ok()) {
@@ -64,7 +64,7 @@
       {wire::OwnerKeyHeader, toHex(Key.publicKey())},
       {wire::OwnerSignatureHeader, toHex(wire::signOrder(Body, Key))}};
   const absl::StatusOr<http::Response> Answer =
-      postTo(Entry, "/v1/fleet/orders", std::move(Body), Headers);
+      post(Entry, "/v1/fleet/orders", std::move(Body), Headers);
   return Answer.ok() ? statusOf(*Answer) : Answer.status();
 }
 
@@ -73,31 +73,31 @@
   const std::string Verb = Order.Verb;
   const std::string Subject =
       Order.Host.empty() ? "the region" : Order.Host.Text;
-  const absl::StatusOr<std::vector<Address>> Entries = entriesOf(Options);
+  const absl::StatusOr<std::vector<Address>> Entries = entryAddresses(Options);
   const absl::StatusOr<PrivateKey> Key =
-      Entries.ok() ? keyOf(Options) : Entries.status();
+      Entries.ok() ? readOwnerKey(Options) : Entries.status();
   const absl::Status Done =
       Key.ok() ? send(Entries->front(), std::move(Order), *Key, Io)
                : Key.status();
   if (!Done.ok()) {
-    return fail(Options, Io, Verb, Done);
+    return reportError(Options, Io, Verb, Done);
   }
-  return report(Options, Io, {{"verb", Verb}, {"subject", Subject}},
-                fmt::format("{}: {} accepted\n", Subject, Verb));
+  return printResult(Options, Io, {{"verb", Verb}, {"subject", Subject}},
+                     fmt::format("{}: {} accepted\n", Subject, Verb));
 }
 
 ExitCode orderForHost(const cxxopts::ParseResult &Options, const ToolIo &Io,
                       const std::string &Verb) {
-  const absl::StatusOr<std::string> Host = onlyArgument(Options, "host");
+  const absl::StatusOr<std::string> Host = singleArgument(Options, "host");
   if (!Host.ok()) {
-    return fail(Options, Io, Verb, Host.status());
+    return reportError(Options, Io, Verb, Host.status());
   }
   wire::OwnerOrder Order;
   Order.Verb = Verb;
   Order.Host = HostName(*Host);
   if (Verb == "move") {
     if (Options.count("pool") == 0) {
-      return fail(Options, Io, Verb, usageError("--pool is missing"));
+      return reportError(Options, Io, Verb, usageError("--pool is missing"));
     }
     Order.Pool = PoolName(Options["pool"].as<std::string>());
   }
@@ -132,13 +132,13 @@
 }
 
 ExitCode runPlan(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<std::vector<Address>> Entries = entriesOf(Options);
+  const absl::StatusOr<std::vector<Address>> Entries = entryAddresses(Options);
   const absl::StatusOr<boost::json::object> Page =
-      Entries.ok() ? getPage(Entries->front(), "/v1/plan") : Entries.status();
+      Entries.ok() ? fetchJson(Entries->front(), "/v1/plan") : Entries.status();
   if (!Page.ok()) {
-    return fail(Options, Io, "plan", Page.status());
+    return reportError(Options, Io, "plan", Page.status());
   }
-  return report(Options, Io, *Page, textMember(*Page, "text"));
+  return printResult(Options, Io, *Page, textMember(*Page, "text"));
 }
 
 } // namespace
--- a/Source/Tool/HelpCommand.cpp
+++ b/Source/Tool/HelpCommand.cpp
@@ -53,7 +53,7 @@
 }
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const std::vector<std::string> Words = argumentsOf(Options);
+  const std::vector<std::string> Words = positionalArguments(Options);
   const bool Json = Options.count("json") != 0;
   if (Words.empty()) {
     if (Json) {
--- a/Source/Tool/HistoryCommands.cpp
+++ b/Source/Tool/HistoryCommands.cpp
@@ -76,7 +76,7 @@
 
 absl::StatusOr<std::vector<Judged>> diff(const cxxopts::ParseResult &Options,
                                          const ToolIo &Io) {
-  absl::StatusOr<OpenChain> Chain = OpenChain::open(Options, Io);
+  absl::StatusOr<ChainConnection> Chain = ChainConnection::open(Options, Io);
   const absl::StatusOr<ChainView> View =
       Chain.ok() ? (*Chain)->view() : Chain.status();
   const absl::StatusOr<Proposals> All =
@@ -85,7 +85,7 @@
     return All.status();
   }
   std::vector<Judged> Found;
-  const std::vector<std::string> Words = argumentsOf(Options);
+  const std::vector<std::string> Words = positionalArguments(Options);
   if (Words.empty()) {
     for (const SignedChange &Subject : All->Open) {
       Found.push_back(judge(*View, Subject));
@@ -105,7 +105,7 @@
 ExitCode runDiff(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<std::vector<Judged>> Found = diff(Options, Io);
   if (!Found.ok()) {
-    return fail(Options, Io, "diff", Found.status());
+    return reportError(Options, Io, "diff", Found.status());
   }
   boost::json::array List;
   std::string Text;
@@ -113,7 +113,7 @@
     List.push_back(judgedJson(Proposal));
     Text += renderJudged(Proposal);
   }
-  return report(Options, Io, {{"proposals", std::move(List)}}, Text);
+  return printResult(Options, Io, {{"proposals", std::move(List)}}, Text);
 }
 
 void addLogOptions(cxxopts::Options &Options) {
@@ -125,14 +125,14 @@
 }
 
 ExitCode runLog(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  absl::StatusOr<OpenChain> Chain = OpenChain::open(Options, Io);
+  absl::StatusOr<ChainConnection> Chain = ChainConnection::open(Options, Io);
   const absl::StatusOr<ChainView> View =
       Chain.ok() ? (*Chain)->view() : Chain.status();
   const absl::StatusOr<std::vector<LandedChange>> Changes =
       View.ok() ? (*Chain)->history(*View, Options["count"].as<std::size_t>())
                 : View.status();
   if (!Changes.ok()) {
-    return fail(Options, Io, "log", Changes.status());
+    return reportError(Options, Io, "log", Changes.status());
   }
   boost::json::array List;
   std::string Text;
@@ -146,7 +146,7 @@
                         dateOf(Content.ProposedAt), proposalId(Content),
                         Content.Reason, renderEdits(Content.Edits));
   }
-  return report(Options, Io, {{"changes", std::move(List)}}, Text);
+  return printResult(Options, Io, {{"changes", std::move(List)}}, Text);
 }
 
 /// A text and its version.
@@ -157,11 +157,11 @@
 
 absl::StatusOr<ShownText> show(const cxxopts::ParseResult &Options,
                                const ToolIo &Io) {
-  const std::vector<std::string> Words = argumentsOf(Options);
+  const std::vector<std::string> Words = positionalArguments(Options);
   if (Words.size() > 1) {
     return usageError("name one version");
   }
-  absl::StatusOr<OpenChain> Chain = OpenChain::open(Options, Io);
+  absl::StatusOr<ChainConnection> Chain = ChainConnection::open(Options, Io);
   const absl::StatusOr<ChainView> View =
       Chain.ok() ? (*Chain)->view() : Chain.status();
   if (!View.ok()) {
@@ -172,7 +172,7 @@
           ? absl::StatusOr<std::uint64_t>(View->Latest.version().Value)
           : parseNumber(Words.front());
   absl::StatusOr<std::string> Text =
-      Version.ok() ? (*Chain)->textOf(*View, RulesVersion(*Version))
+      Version.ok() ? (*Chain)->textAtVersion(*View, RulesVersion(*Version))
                    : Version.status();
   if (!Text.ok()) {
     return Text.status();
@@ -183,14 +183,14 @@
 ExitCode runShow(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<ShownText> Shown = show(Options, Io);
   if (!Shown.ok()) {
-    return fail(Options, Io, "show", Shown.status());
+    return reportError(Options, Io, "show", Shown.status());
   }
   if (Options.count("json") == 0) {
     Io.Err << fmt::format("version {}\n", Shown->Version);
   }
-  return report(Options, Io,
-                {{"version", Shown->Version}, {"text", Shown->Text}},
-                Shown->Text);
+  return printResult(Options, Io,
+                     {{"version", Shown->Version}, {"text", Shown->Text}},
+                     Shown->Text);
 }
 
 } // namespace
--- a/Source/Tool/KeygenCommand.cpp
+++ b/Source/Tool/KeygenCommand.cpp
@@ -21,7 +21,7 @@
 }
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const std::vector<std::string> Words = argumentsOf(Options);
+  const std::vector<std::string> Words = positionalArguments(Options);
   if (Words.size() != 1) {
     Io.Err << "balsamlatch keygen: name the co-owner\n";
     return ExitCode::Usage;
--- a/Source/Tool/ProposeCommands.cpp
+++ b/Source/Tool/ProposeCommands.cpp
@@ -29,7 +29,8 @@
 /// errors. The status shows all findings.
 absl::StatusOr<std::string>
 checkedRulesText(const cxxopts::ParseResult &Options) {
-  const absl::StatusOr<std::string> Path = onlyArgument(Options, "rules file");
+  const absl::StatusOr<std::string> Path =
+      singleArgument(Options, "rules file");
   absl::StatusOr<std::string> Text =
       Path.ok() ? readFile(*Path) : Path.status();
   if (!Text.ok()) {
@@ -60,8 +61,8 @@
   const absl::StatusOr<PrivateKey> B =
       A.ok() ? readKeyFile(Keys[1]) : A.status();
   const absl::StatusOr<std::string> Nonce = B.ok() ? randomNonce() : B.status();
-  absl::StatusOr<OpenChain> Chain =
-      Nonce.ok() ? OpenChain::open(Options, Io) : Nonce.status();
+  absl::StatusOr<ChainConnection> Chain =
+      Nonce.ok() ? ChainConnection::open(Options, Io) : Nonce.status();
   if (!Chain.ok()) {
     return Chain.status();
   }
@@ -74,10 +75,10 @@
 ExitCode runInit(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<RulesVersion> Version = init(Options, Io);
   if (!Version.ok()) {
-    return fail(Options, Io, "init", Version.status());
+    return reportError(Options, Io, "init", Version.status());
   }
-  return report(Options, Io, {{"version", Version->Value}},
-                fmt::format("in force as version {}\n", Version->Value));
+  return printResult(Options, Io, {{"version", Version->Value}},
+                     fmt::format("in force as version {}\n", Version->Value));
 }
 
 /// Puts the change on the list of proposals, signed by its proposer.
@@ -123,7 +124,7 @@
                         const SignedChange &Subject) {
   const std::string Id = proposalId(Subject.Content);
   const std::string Edits = renderEdits(Subject.Content.Edits);
-  return report(
+  return printResult(
       Options, Io,
       {{"id", Id}, {"base", Subject.Content.Base.Value}, {"edits", Edits}},
       fmt::format("{}proposed as {}; the co-owner signs it with "
@@ -149,7 +150,7 @@
     return EditedText{View.Latest.version(), View.Latest.text(), Text};
   }
   const RulesVersion Base(Options["base"].as<std::uint64_t>());
-  const absl::StatusOr<std::string> Old = Chain.textOf(View, Base);
+  const absl::StatusOr<std::string> Old = Chain.textAtVersion(View, Base);
   return Old.ok() ? absl::StatusOr<EditedText>(EditedText{Base, *Old, Text})
                   : Old.status();
 }
@@ -160,9 +161,9 @@
   if (!Text.ok()) {
     return Text.status();
   }
-  const absl::StatusOr<PrivateKey> Key = keyOf(Options);
-  absl::StatusOr<OpenChain> Chain =
-      Key.ok() ? OpenChain::open(Options, Io) : Key.status();
+  const absl::StatusOr<PrivateKey> Key = readOwnerKey(Options);
+  absl::StatusOr<ChainConnection> Chain =
+      Key.ok() ? ChainConnection::open(Options, Io) : Key.status();
   if (!Chain.ok()) {
     return Chain.status();
   }
@@ -182,7 +183,7 @@
 ExitCode runPropose(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<SignedChange> Subject = proposeFile(Options, Io);
   return Subject.ok() ? reportProposal(Options, Io, *Subject)
-                      : fail(Options, Io, "propose", Subject.status());
+                      : reportError(Options, Io, "propose", Subject.status());
 }
 
 void addRollbackOptions(cxxopts::Options &Options) {
@@ -192,13 +193,13 @@
 
 absl::StatusOr<SignedChange> proposeOld(const cxxopts::ParseResult &Options,
                                         const ToolIo &Io) {
-  const absl::StatusOr<std::string> Word = onlyArgument(Options, "version");
+  const absl::StatusOr<std::string> Word = singleArgument(Options, "version");
   const absl::StatusOr<std::uint64_t> Version =
       Word.ok() ? parseNumber(*Word) : Word.status();
   const absl::StatusOr<PrivateKey> Key =
-      Version.ok() ? keyOf(Options) : Version.status();
-  absl::StatusOr<OpenChain> Chain =
-      Key.ok() ? OpenChain::open(Options, Io) : Key.status();
+      Version.ok() ? readOwnerKey(Options) : Version.status();
+  absl::StatusOr<ChainConnection> Chain =
+      Key.ok() ? ChainConnection::open(Options, Io) : Key.status();
   if (!Chain.ok()) {
     return Chain.status();
   }
@@ -207,7 +208,7 @@
     return View.status();
   }
   const absl::StatusOr<std::string> Text =
-      (*Chain)->textOf(*View, RulesVersion(*Version));
+      (*Chain)->textAtVersion(*View, RulesVersion(*Version));
   const absl::StatusOr<OwnerKeys> Owners =
       Text.ok() ? ownersOf(*Text) : Text.status();
   if (!Owners.ok()) {
@@ -229,7 +230,7 @@
 ExitCode runRollback(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<SignedChange> Subject = proposeOld(Options, Io);
   return Subject.ok() ? reportProposal(Options, Io, *Subject)
-                      : fail(Options, Io, "rollback", Subject.status());
+                      : reportError(Options, Io, "rollback", Subject.status());
 }
 
 } // namespace
--- a/Source/Tool/ReplayCommand.cpp
+++ b/Source/Tool/ReplayCommand.cpp
@@ -48,7 +48,7 @@
 
 ExitCode replayTrace(const cxxopts::ParseResult &Given, const RuleSetPtr &Rules,
                      const ToolIo &Io) {
-  const std::vector<std::string> Words = argumentsOf(Given);
+  const std::vector<std::string> Words = positionalArguments(Given);
   const std::optional<placement::Policy> Choice =
       policyOf(Given["policy"].as<std::string>());
   if (Words.size() != 1 || !Choice) {
--- a/Source/Tool/RulesFileCommands.cpp
+++ b/Source/Tool/RulesFileCommands.cpp
@@ -17,15 +17,15 @@
 
 /// The one file named on the command line, or nothing after a message.
 absl::StatusOr<std::string> onlyFile(const cxxopts::ParseResult &Options) {
-  const std::vector<std::string> Words = argumentsOf(Options);
+  const std::vector<std::string> Words = positionalArguments(Options);
   if (Words.size() != 1) {
     return usageError("name one rules file");
   }
   return Words.front();
 }
 
-ExitCode fail(const ToolIo &Io, std::string_view Name,
-              const absl::Status &Status) {
+ExitCode reportError(const ToolIo &Io, std::string_view Name,
+                     const absl::Status &Status) {
   Io.Err << fmt::format("balsamlatch {}: {}\n", Name, messageOf(Status));
   return isUsageError(Status) ? ExitCode::Usage : ExitCode::Refused;
 }
@@ -39,7 +39,7 @@
   const absl::StatusOr<std::string> Text =
       Path.ok() ? readFile(*Path) : Path.status();
   if (!Text.ok()) {
-    return fail(Io, "check", Text.status());
+    return reportError(Io, "check", Text.status());
   }
   const ParsedRules Parsed = parseRules(*Path, *Text);
   const bool Bad = Parsed.Problems.hasErrors();
@@ -64,7 +64,7 @@
   const absl::StatusOr<std::string> Text =
       Path.ok() ? readFile(*Path) : Path.status();
   if (!Text.ok()) {
-    return fail(Io, "fmt", Text.status());
+    return reportError(Io, "fmt", Text.status());
   }
   const std::string Tidy = formatRules(*Text);
   if (Options.count("check") != 0) {
@@ -76,7 +76,7 @@
   }
   const absl::Status Written =
       Tidy == *Text ? absl::OkStatus() : writeFile(*Path, Tidy);
-  return Written.ok() ? ExitCode::Done : fail(Io, "fmt", Written);
+  return Written.ok() ? ExitCode::Done : reportError(Io, "fmt", Written);
 }
 
 } // namespace
--- a/Source/Tool/SignCommands.cpp
+++ b/Source/Tool/SignCommands.cpp
@@ -21,7 +21,7 @@
 
 /// What the three commands start from.
 struct Session {
-  OpenChain Chain;
+  ChainConnection Chain;
   PrivateKey Key;
   ChainView View;
   SignedChange Subject;
@@ -29,10 +29,11 @@
 
 absl::StatusOr<Session> openSession(const cxxopts::ParseResult &Options,
                                     const ToolIo &Io) {
-  const absl::StatusOr<std::string> Id = onlyArgument(Options, "proposal");
-  absl::StatusOr<PrivateKey> Key = Id.ok() ? keyOf(Options) : Id.status();
-  absl::StatusOr<OpenChain> Chain =
-      Key.ok() ? OpenChain::open(Options, Io) : Key.status();
+  const absl::StatusOr<std::string> Id = singleArgument(Options, "proposal");
+  absl::StatusOr<PrivateKey> Key =
+      Id.ok() ? readOwnerKey(Options) : Id.status();
+  absl::StatusOr<ChainConnection> Chain =
+      Key.ok() ? ChainConnection::open(Options, Io) : Key.status();
   absl::StatusOr<ChainView> View =
       Chain.ok() ? (*Chain)->view() : Chain.status();
   const absl::StatusOr<Proposals> All =
@@ -146,23 +147,23 @@
 ExitCode runSign(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   absl::StatusOr<Session> Present = openSession(Options, Io);
   if (!Present.ok()) {
-    return fail(Options, Io, "sign", Present.status());
+    return reportError(Options, Io, "sign", Present.status());
   }
   std::vector<PublicKey> Missing;
   const absl::StatusOr<std::optional<RulesVersion>> Version =
       sign(*Present, Missing);
   if (!Version.ok()) {
-    return fail(Options, Io, "sign", Version.status());
+    return reportError(Options, Io, "sign", Version.status());
   }
   const std::string Edits = renderEdits(Present->Subject.Content.Edits);
   if (!*Version) {
     const std::vector<std::string> Names = namesOf(*Present, Missing);
-    return report(
+    return printResult(
         Options, Io,
         {{"inForce", false}, {"missing", boost::json::value_from(Names)}},
         fmt::format("{}signed; waits for {}\n", Edits, fmt::join(Names, ", ")));
   }
-  return report(
+  return printResult(
       Options, Io, {{"inForce", true}, {"version", (*Version)->Value}},
       fmt::format("{}in force as version {}\n", Edits, (*Version)->Value));
 }
@@ -187,11 +188,11 @@
     }
   }
   if (!Done.ok()) {
-    return fail(Options, Io, Name, Done);
+    return reportError(Options, Io, Name, Done);
   }
   const std::string Id = proposalId(Present->Subject.Content);
-  return report(Options, Io, {{"id", Id}, {"closed", How}},
-                fmt::format("proposal {} is {}\n", Id, How));
+  return printResult(Options, Io, {{"id", Id}, {"closed", How}},
+                     fmt::format("proposal {} is {}\n", Id, How));
 }
 
 ExitCode runReject(const cxxopts::ParseResult &Options, const ToolIo &Io) {
--- a/Source/Tool/StatusCommand.cpp
+++ b/Source/Tool/StatusCommand.cpp
@@ -114,7 +114,7 @@
   Shown Found;
   for (const Address &Entry : Entries) {
     absl::StatusOr<boost::json::object> Page =
-        getPage(Entry, WithHosts ? "/v1/status?hosts=1" : "/v1/status");
+        fetchJson(Entry, WithHosts ? "/v1/status?hosts=1" : "/v1/status");
     if (Page.ok()) {
       Found.Pages.push_back(*std::move(Page));
     } else {
@@ -155,14 +155,14 @@
   }
   const std::string Text = render(Found, WithHosts);
   boost::json::array Pages(Found.Pages.begin(), Found.Pages.end());
-  report(Options, Io, {{"entries", std::move(Pages)}}, Text);
+  printResult(Options, Io, {{"entries", std::move(Pages)}}, Text);
   return Found.Faults.empty() ? ExitCode::Done : ExitCode::Unavailable;
 }
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<std::vector<Address>> Entries = entriesOf(Options);
+  const absl::StatusOr<std::vector<Address>> Entries = entryAddresses(Options);
   if (!Entries.ok()) {
-    return fail(Options, Io, "status", Entries.status());
+    return reportError(Options, Io, "status", Entries.status());
   }
   while (Options.count("watch") != 0) {
     showOnce(Options, Io, *Entries);
