--- a/Source/Tool/Command.h
+++ b/Source/Tool/Command.h
@@ -1,6 +1,7 @@
 /// \file
-/// The tool's commands. A command is a file pair that fills a Command; adding
-/// one adds a line to Commands.cpp.
+/// The interface of a command of the `balsamlatch` tool. Each command is
+/// defined by a function that returns a Command; allCommands() lists these
+/// functions.
 
 #ifndef BALSAMLATCH_TOOL_COMMAND_H
 #define BALSAMLATCH_TOOL_COMMAND_H
@@ -18,18 +19,18 @@
 
 namespace balsamlatch {
 
-/// Exit codes of every command.
+/// Exit codes of the tool.
 enum class ExitCode : int {
   Done = 0,
-  /// The input has errors, or what was asked for is refused.
+  /// The input has errors, or the request was refused.
   Refused = 1,
   /// The command line is wrong.
   Usage = 2,
-  /// The store gave no answer, or the outcome of a write isn't known.
+  /// The store or an entry sent no reply, or the outcome of a write is unknown.
   Unavailable = 3,
 };
 
-/// What a command may touch besides the files that it is given.
+/// Output streams, store and clock of a command; tests substitute them.
 struct ToolIo {
   std::ostream &Out;
   std::ostream &Err;
@@ -45,7 +46,8 @@
 struct Command {
   std::string_view Name;
   std::string_view Summary;
-  /// Words after the name, such as `FILE`; empty without.
+  /// Synopsis of the positional arguments, such as `FILE`; empty if there are
+  /// none.
   std::string_view Arguments;
   /// Adds the command's options; positional arguments go to "arguments".
   void (*AddOptions)(cxxopts::Options &Options);
@@ -55,12 +57,14 @@
 /// All commands, in the order of the help listing.
 const std::vector<Command> &allCommands();
 
-/// The words after the command's name.
+/// The positional arguments of the command.
 std::vector<std::string>
 positionalArguments(const cxxopts::ParseResult &Options);
 
-/// Finds the command named by the first word, parses the others and runs it.
-ExitCode runTool(int Count, const char *const *Words, const ToolIo &Io);
+/// Runs the command named by the first argument with the rest of the command
+/// line. \p ArgumentValues starts with the program's name, as in main().
+ExitCode runTool(int ArgumentCount, const char *const *ArgumentValues,
+                 const ToolIo &Io);
 
 } // namespace balsamlatch
 
--- a/Source/Tool/Commands.cpp
+++ b/Source/Tool/Commands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The list of commands, and the choice among them.
+/// Lists all commands, and runs the one that the command line names.
 
 #include "Command.h"
 
@@ -21,31 +21,33 @@
 
 namespace {
 
+/// Hidden option that collects the positional arguments.
 constexpr const char *ArgumentsOption = "arguments";
 
 const Command *findCommand(std::string_view Name) {
-  const std::vector<Command> &All = allCommands();
-  const auto Found = std::find_if(
-      All.begin(), All.end(), [&](const Command &C) { return C.Name == Name; });
-  return Found == All.end() ? nullptr : &*Found;
+  const std::vector<Command> &Commands = allCommands();
+  const auto Match = std::find_if(
+      Commands.begin(), Commands.end(),
+      [&](const Command &Candidate) { return Candidate.Name == Name; });
+  return Match == Commands.end() ? nullptr : &*Match;
 }
 
-cxxopts::Options optionsOf(const Command &Chosen) {
-  cxxopts::Options Options(fmt::format("balsamlatch {}", Chosen.Name),
-                           std::string(Chosen.Summary));
-  Chosen.AddOptions(Options);
+cxxopts::Options makeOptions(const Command &SelectedCommand) {
+  cxxopts::Options Options(fmt::format("balsamlatch {}", SelectedCommand.Name),
+                           std::string(SelectedCommand.Summary));
+  SelectedCommand.AddOptions(Options);
   Options.add_options()("h,help", "Print this help.");
   Options.add_options("positional")(ArgumentsOption, "",
                                     cxxopts::value<std::vector<std::string>>());
   Options.parse_positional({ArgumentsOption});
-  Options.positional_help(std::string(Chosen.Arguments));
+  Options.positional_help(std::string(SelectedCommand.Arguments));
   return Options;
 }
 
 } // namespace
 
 const std::vector<Command> &allCommands() {
-  static const std::vector<Command> All = {
+  static const std::vector<Command> Commands = {
       checkCommand(),    formatCommand(),  keygenCommand(), initCommand(),
       proposeCommand(),  diffCommand(),    signCommand(),   rejectCommand(),
       withdrawCommand(), logCommand(),     showCommand(),   rollbackCommand(),
@@ -53,7 +55,7 @@
       returnCommand(),   moveCommand(),    haltCommand(),   resumeCommand(),
       replayCommand(),   helpCommand(),
   };
-  return All;
+  return Commands;
 }
 
 std::vector<std::string>
@@ -63,25 +65,28 @@
              : std::vector<std::string>();
 }
 
-ExitCode runTool(int Count, const char *const *Words, const ToolIo &Io) {
-  const std::string_view Name = Count > 1 ? Words[1] : "";
-  const Command *Chosen = findCommand(Name == "--help" ? "help" : Name);
-  if (Chosen == nullptr) {
+ExitCode runTool(int ArgumentCount, const char *const *ArgumentValues,
+                 const ToolIo &Io) {
+  const std::string_view Name = ArgumentCount > 1 ? ArgumentValues[1] : "";
+  const Command *SelectedCommand =
+      findCommand(Name == "--help" ? "help" : Name);
+  if (SelectedCommand == nullptr) {
     Io.Err << fmt::format("balsamlatch: no command is named '{}'; "
                           "balsamlatch help lists them\n",
                           Name);
     return ExitCode::Usage;
   }
-  cxxopts::Options Options = optionsOf(*Chosen);
+  cxxopts::Options Options = makeOptions(*SelectedCommand);
   try {
-    const cxxopts::ParseResult Parsed = Options.parse(Count - 1, Words + 1);
+    const cxxopts::ParseResult Parsed =
+        Options.parse(ArgumentCount - 1, ArgumentValues + 1);
     if (Parsed.count("help") != 0) {
       Io.Out << Options.help({""});
       return ExitCode::Done;
     }
-    return Chosen->Run(Parsed, Io);
-  } catch (const cxxopts::exceptions::exception &Fault) {
-    Io.Err << fmt::format("balsamlatch {}: {}\n", Name, Fault.what());
+    return SelectedCommand->Run(Parsed, Io);
+  } catch (const cxxopts::exceptions::exception &Error) {
+    Io.Err << fmt::format("balsamlatch {}: {}\n", Name, Error.what());
     return ExitCode::Usage;
   }
 }
--- a/Source/Tool/ExplainCommand.cpp
+++ b/Source/Tool/ExplainCommand.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Puts the decisions that several entries remember into one story.
+/// Implements the command `explain`: merges the decisions that several entries
+/// recorded about a request or a host, ordered by time.
 
 #include "ExplainCommand.h"
 
@@ -16,17 +17,17 @@
 
 namespace {
 
-/// A decision with the entry that made it.
-struct ToldDecision {
+/// A decision and the entry that made it.
+struct EntryDecision {
   std::string Entry;
-  boost::json::object Made;
+  boost::json::object Members;
 };
 
-std::string renderDecision(const ToldDecision &Told) {
+std::string renderDecision(const EntryDecision &Decision) {
   std::string Text =
-      fmt::format("{} {:<10} {:<20}", textMember(Told.Made, "time"), Told.Entry,
-                  textMember(Told.Made, "reason"));
-  const boost::json::value *Details = Told.Made.if_contains("details");
+      fmt::format("{} {:<10} {:<20}", textMember(Decision.Members, "time"),
+                  Decision.Entry, textMember(Decision.Members, "reason"));
+  const boost::json::value *Details = Decision.Members.if_contains("details");
   if (Details != nullptr && Details->is_object()) {
     for (const auto &Field : Details->get_object()) {
       Text += fmt::format(" {}={}", std::string_view(Field.key()),
@@ -35,25 +36,27 @@
                               : boost::json::serialize(Field.value()));
     }
   }
-  Text +=
-      fmt::format(" (rules {}, ledger {})\n", numberMember(Told.Made, "rules"),
-                  numberMember(Told.Made, "ledger"));
-  if (const std::string Rule = textMember(Told.Made, "rule"); !Rule.empty()) {
+  Text += fmt::format(" (rules {}, ledger {})\n",
+                      numberMember(Decision.Members, "rules"),
+                      numberMember(Decision.Members, "ledger"));
+  if (const std::string Rule = textMember(Decision.Members, "rule");
+      !Rule.empty()) {
     Text += fmt::format("    rule, line {}: {}\n",
-                        numberMember(Told.Made, "rule_line"), Rule);
+                        numberMember(Decision.Members, "rule_line"), Rule);
   }
   return Text;
 }
 
-/// Takes one entry's page into the story.
-void take(const boost::json::object &Page, std::vector<ToldDecision> &Story) {
-  const boost::json::value *Decisions = Page.if_contains("decisions");
-  if (Decisions == nullptr || !Decisions->is_array()) {
+/// Appends the decisions of one entry's response.
+void appendDecisions(const boost::json::object &Page,
+                     std::vector<EntryDecision> &Decisions) {
+  const boost::json::value *List = Page.if_contains("decisions");
+  if (List == nullptr || !List->is_array()) {
     return;
   }
-  for (const boost::json::value &Made : Decisions->get_array()) {
-    if (Made.is_object()) {
-      Story.push_back({textMember(Page, "entry"), Made.get_object()});
+  for (const boost::json::value &Decision : List->get_array()) {
+    if (Decision.is_object()) {
+      Decisions.push_back({textMember(Page, "entry"), Decision.get_object()});
     }
   }
 }
@@ -66,33 +69,34 @@
   if (!Entries.ok()) {
     return reportError(Options, Io, "explain", Entries.status());
   }
-  std::vector<ToldDecision> Story;
+  std::vector<EntryDecision> Decisions;
   bool AllAnswered = true;
   for (const Address &Entry : *Entries) {
     const absl::StatusOr<boost::json::object> Page =
         fetchJson(Entry, "/v1/explain/" + *Subject);
     if (Page.ok()) {
-      take(*Page, Story);
+      appendDecisions(*Page, Decisions);
     } else {
       AllAnswered = false;
       Io.Err << fmt::format("balsamlatch explain: {}\n",
                             messageOf(Page.status()));
     }
   }
-  // Times of one entry are in order already; equal times keep it.
-  std::stable_sort(Story.begin(), Story.end(),
-                   [](const ToldDecision &A, const ToldDecision &B) {
-                     return textMember(A.Made, "time") <
-                            textMember(B.Made, "time");
+  // The decisions of an entry arrive in time order; a stable sort keeps this
+  // order among equal times.
+  std::stable_sort(Decisions.begin(), Decisions.end(),
+                   [](const EntryDecision &Left, const EntryDecision &Right) {
+                     return textMember(Left.Members, "time") <
+                            textMember(Right.Members, "time");
                    });
   std::string Text;
   boost::json::array List;
-  for (ToldDecision &Told : Story) {
-    Text += renderDecision(Told);
-    Told.Made["entry"] = Told.Entry;
-    List.push_back(Told.Made);
+  for (EntryDecision &Decision : Decisions) {
+    Text += renderDecision(Decision);
+    Decision.Members["entry"] = Decision.Entry;
+    List.push_back(Decision.Members);
   }
-  if (Story.empty()) {
+  if (Decisions.empty()) {
     Text =
         fmt::format("no entry asked remembers a decision about {}\n", *Subject);
   }
--- a/Source/Tool/ExplainCommand.h
+++ b/Source/Tool/ExplainCommand.h
@@ -1,5 +1,5 @@
 /// \file
-/// The command `explain`: the story of a request or a host.
+/// The command `explain`: the recorded decisions about a request or a host.
 
 #ifndef BALSAMLATCH_TOOL_EXPLAINCOMMAND_H
 #define BALSAMLATCH_TOOL_EXPLAINCOMMAND_H
--- a/Source/Tool/FleetCommands.cpp
+++ b/Source/Tool/FleetCommands.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Signs owners' orders and sends them to an entry.
+/// Implements the commands that sign owners' orders and send them to an entry,
+/// and the command `plan`.
 
 #include "FleetCommands.h"
 
@@ -27,14 +28,14 @@
                         cxxopts::value<std::string>(), "POOL");
 }
 
-/// What the answer of an entry means for the command.
-absl::Status statusOf(const http::Response &Answer) {
-  boost::system::error_code Fault;
-  const boost::json::value Body = boost::json::parse(Answer.Body, Fault);
-  const std::string Message = Fault || !Body.is_object()
-                                  ? Answer.Body
+/// Converts an entry's response to the status that reportError() takes.
+absl::Status responseStatus(const http::Response &Response) {
+  boost::system::error_code Error;
+  const boost::json::value Body = boost::json::parse(Response.Body, Error);
+  const std::string Message = Error || !Body.is_object()
+                                  ? Response.Body
                                   : textMember(Body.get_object(), "message");
-  switch (Answer.Status) {
+  switch (Response.Status) {
   case 200:
     return absl::OkStatus();
   case 503:
@@ -46,47 +47,47 @@
   }
 }
 
-/// Signs the order for the entry and sends it.
-absl::Status send(const Address &Entry, wire::OwnerOrder Order,
-                  const PrivateKey &Key, const ToolIo &Io) {
-  const absl::StatusOr<boost::json::object> Status =
+/// Completes the order with the entry's name, the time and a nonce, signs it
+/// and sends it.
+absl::Status sendOrder(const Address &Entry, wire::OwnerOrder Order,
+                       const PrivateKey &Key, const ToolIo &Io) {
+  const absl::StatusOr<boost::json::object> Page =
       fetchJson(Entry, "/v1/status");
-  absl::StatusOr<std::string> Nonce =
-      Status.ok() ? randomNonce() : Status.status();
+  absl::StatusOr<std::string> Nonce = Page.ok() ? randomNonce() : Page.status();
   if (!Nonce.ok()) {
     return Nonce.status();
   }
-  Order.Entry = EntryName(textMember(*Status, "entry"));
+  Order.Entry = EntryName(textMember(*Page, "entry"));
   Order.SentAt = WallTime(std::chrono::seconds(Io.Now()));
   Order.Nonce = *std::move(Nonce);
   std::string Body = wire::encodeOrder(Order);
   const http::Fields Headers = {
       {wire::OwnerKeyHeader, toHex(Key.publicKey())},
       {wire::OwnerSignatureHeader, toHex(wire::signOrder(Body, Key))}};
-  const absl::StatusOr<http::Response> Answer =
+  const absl::StatusOr<http::Response> Response =
       post(Entry, "/v1/fleet/orders", std::move(Body), Headers);
-  return Answer.ok() ? statusOf(*Answer) : Answer.status();
+  return Response.ok() ? responseStatus(*Response) : Response.status();
 }
 
-ExitCode order(const cxxopts::ParseResult &Options, const ToolIo &Io,
-               wire::OwnerOrder Order) {
+ExitCode runOrder(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                  wire::OwnerOrder Order) {
   const std::string Verb = Order.Verb;
   const std::string Subject =
       Order.Host.empty() ? "the region" : Order.Host.Text;
   const absl::StatusOr<std::vector<Address>> Entries = entryAddresses(Options);
   const absl::StatusOr<PrivateKey> Key =
       Entries.ok() ? readOwnerKey(Options) : Entries.status();
-  const absl::Status Done =
-      Key.ok() ? send(Entries->front(), std::move(Order), *Key, Io)
+  const absl::Status SendStatus =
+      Key.ok() ? sendOrder(Entries->front(), std::move(Order), *Key, Io)
                : Key.status();
-  if (!Done.ok()) {
-    return reportError(Options, Io, Verb, Done);
+  if (!SendStatus.ok()) {
+    return reportError(Options, Io, Verb, SendStatus);
   }
   return printResult(Options, Io, {{"verb", Verb}, {"subject", Subject}},
                      fmt::format("{}: {} accepted\n", Subject, Verb));
 }
 
-ExitCode orderForHost(const cxxopts::ParseResult &Options, const ToolIo &Io,
+ExitCode runHostOrder(const cxxopts::ParseResult &Options, const ToolIo &Io,
                       const std::string &Verb) {
   const absl::StatusOr<std::string> Host = singleArgument(Options, "host");
   if (!Host.ok()) {
@@ -101,34 +102,34 @@
     }
     Order.Pool = PoolName(Options["pool"].as<std::string>());
   }
-  return order(Options, Io, std::move(Order));
+  return runOrder(Options, Io, std::move(Order));
 }
 
-ExitCode orderForAll(const cxxopts::ParseResult &Options, const ToolIo &Io,
-                     const std::string &Verb) {
+ExitCode runRegionOrder(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                        const std::string &Verb) {
   wire::OwnerOrder Order;
   Order.Verb = Verb;
-  return order(Options, Io, std::move(Order));
+  return runOrder(Options, Io, std::move(Order));
 }
 
 ExitCode runDrain(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return orderForHost(Options, Io, "drain");
+  return runHostOrder(Options, Io, "drain");
 }
 
 ExitCode runReturn(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return orderForHost(Options, Io, "return");
+  return runHostOrder(Options, Io, "return");
 }
 
 ExitCode runMove(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return orderForHost(Options, Io, "move");
+  return runHostOrder(Options, Io, "move");
 }
 
 ExitCode runHalt(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return orderForAll(Options, Io, "halt");
+  return runRegionOrder(Options, Io, "halt");
 }
 
 ExitCode runResume(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return orderForAll(Options, Io, "resume");
+  return runRegionOrder(Options, Io, "resume");
 }
 
 ExitCode runPlan(const cxxopts::ParseResult &Options, const ToolIo &Io) {
--- a/Source/Tool/FleetCommands.h
+++ b/Source/Tool/FleetCommands.h
@@ -1,6 +1,6 @@
 /// \file
-/// The owners' orders to the fleet: drain, return, move, halt and resume; and
-/// the plan of what maintenance does next.
+/// The commands that send owners' orders to the fleet (drain, return, move,
+/// halt and resume) and the command `plan`.
 
 #ifndef BALSAMLATCH_TOOL_FLEETCOMMANDS_H
 #define BALSAMLATCH_TOOL_FLEETCOMMANDS_H
--- a/Source/Tool/HelpCommand.cpp
+++ b/Source/Tool/HelpCommand.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The command `help`.
+/// Implements the command `help`.
 
 #include "HelpCommand.h"
 
@@ -16,22 +16,22 @@
   Options.add_options()("json", "Print JSON.");
 }
 
-boost::json::object formJson(const RuleForm &Form) {
+boost::json::object ruleFormJson(const RuleForm &Form) {
   return {{"rule", Form.Word},
           {"synopsis", Form.Synopsis},
           {"summary", Form.Summary},
           {"example", Form.Example}};
 }
 
-void printForm(const RuleForm &Form, std::ostream &Out) {
+void printRuleForm(const RuleForm &Form, std::ostream &Out) {
   Out << fmt::format("{}\n\n  {}\n\nFor example:\n\n  {}\n", Form.Summary,
                      Form.Synopsis, Form.Example);
 }
 
 void printListing(std::ostream &Out) {
   Out << "Commands:\n";
-  for (const Command &C : allCommands()) {
-    Out << fmt::format("  {:<10}{}\n", C.Name, C.Summary);
+  for (const Command &Entry : allCommands()) {
+    Out << fmt::format("  {:<10}{}\n", Entry.Name, Entry.Summary);
   }
   Out << "\nRules (balsamlatch help RULE shows the form of one):\n";
   for (const RuleForm &Form : RuleForms) {
@@ -41,38 +41,38 @@
 
 boost::json::object listingJson() {
   boost::json::array Commands;
-  for (const Command &C : allCommands()) {
-    Commands.push_back(
-        boost::json::object{{"command", C.Name}, {"summary", C.Summary}});
+  for (const Command &Entry : allCommands()) {
+    Commands.push_back(boost::json::object{{"command", Entry.Name},
+                                           {"summary", Entry.Summary}});
   }
   boost::json::array Rules;
   for (const RuleForm &Form : RuleForms) {
-    Rules.push_back(formJson(Form));
+    Rules.push_back(ruleFormJson(Form));
   }
   return {{"commands", std::move(Commands)}, {"rules", std::move(Rules)}};
 }
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const std::vector<std::string> Words = positionalArguments(Options);
-  const bool Json = Options.count("json") != 0;
-  if (Words.empty()) {
-    if (Json) {
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  const bool PrintJson = Options.count("json") != 0;
+  if (Arguments.empty()) {
+    if (PrintJson) {
       Io.Out << boost::json::serialize(listingJson()) << '\n';
     } else {
       printListing(Io.Out);
     }
     return ExitCode::Done;
   }
-  const RuleForm *Form = ruleForm(Words.front());
+  const RuleForm *Form = ruleForm(Arguments.front());
   if (Form == nullptr) {
     Io.Err << fmt::format("balsamlatch help: no rule is named '{}'\n",
-                          Words.front());
+                          Arguments.front());
     return ExitCode::Usage;
   }
-  if (Json) {
-    Io.Out << boost::json::serialize(formJson(*Form)) << '\n';
+  if (PrintJson) {
+    Io.Out << boost::json::serialize(ruleFormJson(*Form)) << '\n';
   } else {
-    printForm(*Form, Io.Out);
+    printRuleForm(*Form, Io.Out);
   }
   return ExitCode::Done;
 }
--- a/Source/Tool/HelpCommand.h
+++ b/Source/Tool/HelpCommand.h
@@ -1,5 +1,5 @@
 /// \file
-/// Lists commands and rules, and shows a rule's form.
+/// The command `help`: lists commands and rules, and shows a rule's form.
 
 #ifndef BALSAMLATCH_TOOL_HELPCOMMAND_H
 #define BALSAMLATCH_TOOL_HELPCOMMAND_H
--- a/Source/Tool/HistoryCommands.cpp
+++ b/Source/Tool/HistoryCommands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The commands `diff`, `log` and `show`.
+/// Implements the commands `diff`, `log` and `show`.
 
 #include "HistoryCommands.h"
 
@@ -18,9 +18,11 @@
 
 namespace {
 
-constexpr std::size_t DefaultLogLines = 20;
+/// Changes that `log` shows without --count.
+constexpr std::size_t DefaultLogChanges = 20;
 
-std::string dateOf(std::uint64_t Seconds) {
+/// Date and time in UTC; \p Seconds count from 1970.
+std::string formatTime(std::uint64_t Seconds) {
   return fmt::format("{:%Y-%m-%d %H:%M:%S}",
                      fmt::gmtime(static_cast<std::time_t>(Seconds)));
 }
@@ -34,84 +36,87 @@
           {"edits", renderEdits(Content.Edits)}};
 }
 
-/// One proposal, and whether it could land now.
-struct Judged {
-  SignedChange Subject;
-  absl::Status State;
-  std::vector<std::string> Missing;
+/// A proposal, whether the chain can take it now, and the owners whose
+/// signatures are missing.
+struct ProposalStatus {
+  SignedChange Proposal;
+  absl::Status LandStatus;
+  std::vector<std::string> MissingNames;
 };
 
-Judged judge(const ChainView &View, const SignedChange &Subject) {
-  Judged Result{Subject, absl::OkStatus(), {}};
-  const absl::StatusOr<std::vector<PublicKey>> Missing =
-      missingSigners(View, Subject);
-  Result.State = Missing.status();
-  for (const PublicKey &Key : Missing.value_or(std::vector<PublicKey>())) {
-    Result.Missing.push_back(ownerName(View.Latest.text(), Key));
+ProposalStatus evaluateProposal(const ChainView &View,
+                                const SignedChange &Proposal) {
+  ProposalStatus Result{Proposal, absl::OkStatus(), {}};
+  const absl::StatusOr<std::vector<PublicKey>> MissingKeys =
+      missingSigners(View, Proposal);
+  Result.LandStatus = MissingKeys.status();
+  for (const PublicKey &Key : MissingKeys.value_or(std::vector<PublicKey>())) {
+    Result.MissingNames.push_back(ownerName(View.Latest.text(), Key));
   }
   return Result;
 }
 
-std::string renderJudged(const Judged &Proposal) {
-  const Change &Content = Proposal.Subject.Content;
-  std::string Text = fmt::format("{} by {} at {} on version {}: {}\n{}",
-                                 proposalId(Content), Content.Proposer.Text,
-                                 dateOf(Content.ProposedAt), Content.Base.Value,
-                                 Content.Reason, renderEdits(Content.Edits));
-  if (!Proposal.State.ok()) {
-    return Text + fmt::format("can't land: {}\n", messageOf(Proposal.State));
+std::string renderProposal(const ProposalStatus &Status) {
+  const Change &Content = Status.Proposal.Content;
+  std::string Text = fmt::format(
+      "{} by {} at {} on version {}: {}\n{}", proposalId(Content),
+      Content.Proposer.Text, formatTime(Content.ProposedAt), Content.Base.Value,
+      Content.Reason, renderEdits(Content.Edits));
+  if (!Status.LandStatus.ok()) {
+    return Text + fmt::format("can't land: {}\n", messageOf(Status.LandStatus));
   }
-  for (const std::string &Name : Proposal.Missing) {
+  for (const std::string &Name : Status.MissingNames) {
     Text += fmt::format("waits for {}\n", Name);
   }
   return Text;
 }
 
-boost::json::object judgedJson(const Judged &Proposal) {
-  boost::json::object Object = changeJson(Proposal.Subject.Content);
-  Object["missing"] = boost::json::value_from(Proposal.Missing);
-  Object["conflict"] = messageOf(Proposal.State);
+boost::json::object proposalJson(const ProposalStatus &Status) {
+  boost::json::object Object = changeJson(Status.Proposal.Content);
+  Object["missing"] = boost::json::value_from(Status.MissingNames);
+  Object["conflict"] = messageOf(Status.LandStatus);
   return Object;
 }
 
-absl::StatusOr<std::vector<Judged>> diff(const cxxopts::ParseResult &Options,
-                                         const ToolIo &Io) {
+absl::StatusOr<std::vector<ProposalStatus>>
+evaluateProposals(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   absl::StatusOr<ChainConnection> Chain = ChainConnection::open(Options, Io);
   const absl::StatusOr<ChainView> View =
       Chain.ok() ? (*Chain)->view() : Chain.status();
-  const absl::StatusOr<Proposals> All =
+  const absl::StatusOr<Proposals> List =
       View.ok() ? (*Chain)->proposals() : View.status();
-  if (!All.ok()) {
-    return All.status();
+  if (!List.ok()) {
+    return List.status();
   }
-  std::vector<Judged> Found;
-  const std::vector<std::string> Words = positionalArguments(Options);
-  if (Words.empty()) {
-    for (const SignedChange &Subject : All->Open) {
-      Found.push_back(judge(*View, Subject));
+  std::vector<ProposalStatus> Statuses;
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  if (Arguments.empty()) {
+    for (const SignedChange &Proposal : List->Open) {
+      Statuses.push_back(evaluateProposal(*View, Proposal));
     }
-    return Found;
+    return Statuses;
   }
-  for (const std::string &Id : Words) {
-    const absl::StatusOr<SignedChange> Subject = findProposal(*All, Id);
-    if (!Subject.ok()) {
-      return Subject.status();
+  for (const std::string &Id : Arguments) {
+    const absl::StatusOr<SignedChange> Proposal = findProposal(*List, Id);
+    if (!Proposal.ok()) {
+      return Proposal.status();
     }
-    Found.push_back(judge(*View, *Subject));
+    Statuses.push_back(evaluateProposal(*View, *Proposal));
   }
-  return Found;
+  return Statuses;
 }
 
 ExitCode runDiff(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<std::vector<Judged>> Found = diff(Options, Io);
-  if (!Found.ok()) {
-    return reportError(Options, Io, "diff", Found.status());
+  const absl::StatusOr<std::vector<ProposalStatus>> Statuses =
+      evaluateProposals(Options, Io);
+  if (!Statuses.ok()) {
+    return reportError(Options, Io, "diff", Statuses.status());
   }
   boost::json::array List;
   std::string Text;
-  for (const Judged &Proposal : *Found) {
-    List.push_back(judgedJson(Proposal));
-    Text += renderJudged(Proposal);
+  for (const ProposalStatus &Status : *Statuses) {
+    List.push_back(proposalJson(Status));
+    Text += renderProposal(Status);
   }
   return printResult(Options, Io, {{"proposals", std::move(List)}}, Text);
 }
@@ -120,7 +125,7 @@
   addStoreOptions(Options);
   Options.add_options()("count", "Most changes to show.",
                         cxxopts::value<std::size_t>()->default_value(
-                            std::to_string(DefaultLogLines)),
+                            std::to_string(DefaultLogChanges)),
                         "N");
 }
 
@@ -143,22 +148,22 @@
     List.push_back(std::move(Entry));
     Text += fmt::format("version {} by {}, proposed {} as {}: {}\n{}",
                         Landed.Version.Value, Content.Proposer.Text,
-                        dateOf(Content.ProposedAt), proposalId(Content),
+                        formatTime(Content.ProposedAt), proposalId(Content),
                         Content.Reason, renderEdits(Content.Edits));
   }
   return printResult(Options, Io, {{"changes", std::move(List)}}, Text);
 }
 
-/// A text and its version.
-struct ShownText {
+/// The rules text of a version.
+struct VersionText {
   std::uint64_t Version = 0;
   std::string Text;
 };
 
-absl::StatusOr<ShownText> show(const cxxopts::ParseResult &Options,
-                               const ToolIo &Io) {
-  const std::vector<std::string> Words = positionalArguments(Options);
-  if (Words.size() > 1) {
+absl::StatusOr<VersionText> readVersionText(const cxxopts::ParseResult &Options,
+                                            const ToolIo &Io) {
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  if (Arguments.size() > 1) {
     return usageError("name one version");
   }
   absl::StatusOr<ChainConnection> Chain = ChainConnection::open(Options, Io);
@@ -168,29 +173,29 @@
     return View.status();
   }
   const absl::StatusOr<std::uint64_t> Version =
-      Words.empty()
+      Arguments.empty()
           ? absl::StatusOr<std::uint64_t>(View->Latest.version().Value)
-          : parseNumber(Words.front());
+          : parseNumber(Arguments.front());
   absl::StatusOr<std::string> Text =
       Version.ok() ? (*Chain)->textAtVersion(*View, RulesVersion(*Version))
                    : Version.status();
   if (!Text.ok()) {
     return Text.status();
   }
-  return ShownText{*Version, *std::move(Text)};
+  return VersionText{*Version, *std::move(Text)};
 }
 
 ExitCode runShow(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<ShownText> Shown = show(Options, Io);
-  if (!Shown.ok()) {
-    return reportError(Options, Io, "show", Shown.status());
+  const absl::StatusOr<VersionText> Content = readVersionText(Options, Io);
+  if (!Content.ok()) {
+    return reportError(Options, Io, "show", Content.status());
   }
   if (Options.count("json") == 0) {
-    Io.Err << fmt::format("version {}\n", Shown->Version);
+    Io.Err << fmt::format("version {}\n", Content->Version);
   }
   return printResult(Options, Io,
-                     {{"version", Shown->Version}, {"text", Shown->Text}},
-                     Shown->Text);
+                     {{"version", Content->Version}, {"text", Content->Text}},
+                     Content->Text);
 }
 
 } // namespace
--- a/Source/Tool/HistoryCommands.h
+++ b/Source/Tool/HistoryCommands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commands that show changes: diff, log and show.
+/// The commands that print proposals and earlier versions: diff, log and show.
 
 #ifndef BALSAMLATCH_TOOL_HISTORYCOMMANDS_H
 #define BALSAMLATCH_TOOL_HISTORYCOMMANDS_H
--- a/Source/Tool/HttpStoreCaller.cpp
+++ b/Source/Tool/HttpStoreCaller.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Blocking calls to the store over HTTP.
+/// Implements blocking store calls over HTTP.
 
 #include "HttpStoreCaller.h"
 
@@ -17,43 +17,44 @@
 
 namespace {
 
+/// Runs its own event loop until the reply arrives.
 class HttpStoreCaller final : public StoreCaller {
 public:
-  explicit HttpStoreCaller(Address Where)
+  explicit HttpStoreCaller(Address StoreAddress)
       : Client(Context, http::ClientOptions()),
-        Platform(Client, std::move(Where)) {}
+        Store(Client, std::move(StoreAddress)) {}
 
   StoreReply call(const StoreRequest &Request) override {
-    std::optional<StoreReply> Answer;
-    Platform.submit(Request,
-                    [&Answer](StoreReply Reply) { Answer = std::move(Reply); });
+    std::optional<StoreReply> Result;
+    Store.submit(Request,
+                 [&Result](StoreReply Reply) { Result = std::move(Reply); });
     Context.restart();
-    while (!Answer && Context.run_one() != 0) {
+    while (!Result && Context.run_one() != 0) {
     }
-    return Answer.value_or(
+    return Result.value_or(
         StoreReply{absl::DeadlineExceededError("no answer"), {}});
   }
 
 private:
   boost::asio::io_context Context;
   http::Client Client;
-  HttpStore Platform;
+  HttpStore Store;
 };
 
 } // namespace
 
 absl::StatusOr<std::unique_ptr<StoreCaller>>
-openHttpStore(const std::string &Where) {
-  const std::size_t Colon = Where.rfind(':');
-  const std::string Ip = Where.substr(0, Colon);
+openHttpStore(const std::string &Endpoint) {
+  const std::size_t Colon = Endpoint.rfind(':');
+  const std::string Ip = Endpoint.substr(0, Colon);
   boost::system::error_code Error;
   boost::asio::ip::make_address(Ip, Error);
   const absl::StatusOr<std::uint64_t> Port =
       Colon == std::string::npos ? absl::InvalidArgumentError("")
-                                 : parseNumber(Where.substr(Colon + 1));
+                                 : parseNumber(Endpoint.substr(Colon + 1));
   if (Error || !Port.ok() || *Port == 0 ||
       *Port > std::numeric_limits<std::uint16_t>::max()) {
-    return usageError("'" + Where + "' is not IP:PORT, such as 10.0.0.5:80");
+    return usageError("'" + Endpoint + "' is not IP:PORT, such as 10.0.0.5:80");
   }
   return std::make_unique<HttpStoreCaller>(
       Address{Ip, static_cast<std::uint16_t>(*Port)});
--- a/Source/Tool/HttpStoreCaller.h
+++ b/Source/Tool/HttpStoreCaller.h
@@ -12,9 +12,9 @@
 
 namespace balsamlatch {
 
-/// \p Where is `IP:PORT`. InvalidArgument if it isn't.
+/// Opens the store at \p Endpoint. A usage error if it isn't `IP:PORT`.
 absl::StatusOr<std::unique_ptr<StoreCaller>>
-openHttpStore(const std::string &Where);
+openHttpStore(const std::string &Endpoint);
 
 } // namespace balsamlatch
 
--- a/Source/Tool/KeygenCommand.cpp
+++ b/Source/Tool/KeygenCommand.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The command `keygen`.
+/// Implements the command `keygen`.
 
 #include "KeygenCommand.h"
 
@@ -21,29 +21,29 @@
 }
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const std::vector<std::string> Words = positionalArguments(Options);
-  if (Words.size() != 1) {
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  if (Arguments.size() != 1) {
     Io.Err << "balsamlatch keygen: name the co-owner\n";
     return ExitCode::Usage;
   }
-  const std::string &Name = Words.front();
+  const std::string &Name = Arguments.front();
   const std::string Path = Options.count("out") != 0
                                ? Options["out"].as<std::string>()
                                : Name + ".key";
   const absl::StatusOr<PrivateKey> Key = PrivateKey::generate();
-  const absl::Status Written =
+  const absl::Status WriteStatus =
       Key.ok() ? writeKeyFile(Path, *Key) : Key.status();
-  if (!Written.ok()) {
-    Io.Err << fmt::format("balsamlatch keygen: {}\n", messageOf(Written));
+  if (!WriteStatus.ok()) {
+    Io.Err << fmt::format("balsamlatch keygen: {}\n", messageOf(WriteStatus));
     return ExitCode::Refused;
   }
-  const std::string Public = toHex(Key->publicKey());
+  const std::string PublicKeyHex = toHex(Key->publicKey());
   if (Options.count("json") != 0) {
     Io.Out << boost::json::serialize(boost::json::object{
-                  {"owner", Name}, {"file", Path}, {"publicKey", Public}})
+                  {"owner", Name}, {"file", Path}, {"publicKey", PublicKeyHex}})
            << '\n';
   } else {
-    Io.Out << fmt::format("owner {} key {} # {}\n", Name, Public, Name);
+    Io.Out << fmt::format("owner {} key {} # {}\n", Name, PublicKeyHex, Name);
   }
   return ExitCode::Done;
 }
--- a/Source/Tool/KeygenCommand.h
+++ b/Source/Tool/KeygenCommand.h
@@ -1,5 +1,5 @@
 /// \file
-/// Makes a co-owner's key.
+/// The command `keygen`: generates a co-owner's key.
 
 #ifndef BALSAMLATCH_TOOL_KEYGENCOMMAND_H
 #define BALSAMLATCH_TOOL_KEYGENCOMMAND_H
--- a/Source/Tool/ProposeCommands.cpp
+++ b/Source/Tool/ProposeCommands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The commands `init`, `propose` and `rollback`.
+/// Implements the commands `init`, `propose` and `rollback`.
 
 #include "ProposeCommands.h"
 
@@ -25,10 +25,10 @@
       "replace", "Start anew although the store has rules.");
 }
 
-/// The text of the rules file that the command names, once it checks without
-/// errors. The status shows all findings.
+/// Reads the rules file that is named on the command line. If it has errors,
+/// the status lists all findings.
 absl::StatusOr<std::string>
-checkedRulesText(const cxxopts::ParseResult &Options) {
+readValidRules(const cxxopts::ParseResult &Options) {
   const absl::StatusOr<std::string> Path =
       singleArgument(Options, "rules file");
   absl::StatusOr<std::string> Text =
@@ -36,40 +36,41 @@
   if (!Text.ok()) {
     return Text;
   }
-  const ParsedRules Parsed = parseRules(*Path, *Text);
-  if (Parsed.Problems.hasErrors()) {
-    return absl::InvalidArgumentError("\n" + Parsed.Problems.render());
+  const ParsedRules RulesFile = parseRules(*Path, *Text);
+  if (RulesFile.Problems.hasErrors()) {
+    return absl::InvalidArgumentError("\n" + RulesFile.Problems.render());
   }
   return Text;
 }
 
-/// Starts the chain; the status says what went wrong.
+/// Starts the chain with the rules file, signed with both owners' keys.
 absl::StatusOr<RulesVersion> init(const cxxopts::ParseResult &Options,
                                   const ToolIo &Io) {
-  const absl::StatusOr<std::string> Text = checkedRulesText(Options);
+  const absl::StatusOr<std::string> Text = readValidRules(Options);
   if (!Text.ok()) {
     return Text.status();
   }
-  const std::vector<std::string> Keys =
+  const std::vector<std::string> KeyPaths =
       Options.count("key") != 0 ? Options["key"].as<std::vector<std::string>>()
                                 : std::vector<std::string>();
-  if (Keys.size() != 2) {
+  if (KeyPaths.size() != 2) {
     return usageError(
         "both owners' key files are needed, --key FILE --key FILE");
   }
-  const absl::StatusOr<PrivateKey> A = readKeyFile(Keys[0]);
-  const absl::StatusOr<PrivateKey> B =
-      A.ok() ? readKeyFile(Keys[1]) : A.status();
-  const absl::StatusOr<std::string> Nonce = B.ok() ? randomNonce() : B.status();
+  const absl::StatusOr<PrivateKey> FirstKey = readKeyFile(KeyPaths[0]);
+  const absl::StatusOr<PrivateKey> SecondKey =
+      FirstKey.ok() ? readKeyFile(KeyPaths[1]) : FirstKey.status();
+  const absl::StatusOr<std::string> Nonce =
+      SecondKey.ok() ? randomNonce() : SecondKey.status();
   absl::StatusOr<ChainConnection> Chain =
       Nonce.ok() ? ChainConnection::open(Options, Io) : Nonce.status();
   if (!Chain.ok()) {
     return Chain.status();
   }
-  return (*Chain)->start(Options.count("replace") != 0,
-                         [&](RulesVersion Version) {
-                           return startChain(*Text, Version, *Nonce, *A, *B);
-                         });
+  return (*Chain)->start(
+      Options.count("replace") != 0, [&](RulesVersion Version) {
+        return startChain(*Text, Version, *Nonce, *FirstKey, *SecondKey);
+      });
 }
 
 ExitCode runInit(const cxxopts::ParseResult &Options, const ToolIo &Io) {
@@ -81,14 +82,14 @@
                      fmt::format("in force as version {}\n", Version->Value));
 }
 
-/// Puts the change on the list of proposals, signed by its proposer.
+/// Adds the change to the open proposals, signed by its proposer.
 absl::StatusOr<SignedChange> propose(ChainStore &Chain, const ChainView &View,
-                                     const EditedText &Text,
+                                     const EditedText &Edited,
                                      const PrivateKey &Key, ProposalNote Note) {
   const OwnerKeys &Owners = View.Latest.owners();
   if (std::find(Owners.begin(), Owners.end(), Key.publicKey()) ==
       Owners.end()) {
-    return absl::PermissionDeniedError("the key is none of the two owners'");
+    return absl::PermissionDeniedError("the key belongs to neither owner");
   }
   Note.Proposer = OwnerName(ownerName(View.Latest.text(), Key.publicKey()));
   absl::StatusOr<std::string> Nonce = randomNonce();
@@ -96,37 +97,37 @@
     return Nonce.status();
   }
   Note.Nonce = *std::move(Nonce);
-  absl::StatusOr<Change> Content = makeChange(View, Text, std::move(Note));
+  absl::StatusOr<Change> Content = makeChange(View, Edited, std::move(Note));
   if (!Content.ok()) {
     return Content.status();
   }
-  SignedChange Subject{*std::move(Content), {}};
-  Subject.Approvals.push_back(approve(Subject.Content, Key));
-  const absl::StatusOr<Proposals> Listed =
-      Chain.editProposals([&](Proposals &All) {
-        for (const SignedChange &Other : All.Open) {
-          if (Other.Content == Subject.Content) {
+  SignedChange Proposal{*std::move(Content), {}};
+  Proposal.Approvals.push_back(approve(Proposal.Content, Key));
+  const absl::StatusOr<Proposals> Updated =
+      Chain.editProposals([&](Proposals &List) {
+        for (const SignedChange &Open : List.Open) {
+          if (Open.Content == Proposal.Content) {
             return absl::OkStatus();
           }
         }
-        if (All.Open.size() >= MaxOpenProposals) {
+        if (List.Open.size() >= MaxOpenProposals) {
           return absl::ResourceExhaustedError(
               "too many proposals are open; sign, reject or withdraw some");
         }
-        All.Open.push_back(Subject);
+        List.Open.push_back(Proposal);
         return absl::OkStatus();
       });
-  return Listed.ok() ? absl::StatusOr<SignedChange>(std::move(Subject))
-                     : Listed.status();
+  return Updated.ok() ? absl::StatusOr<SignedChange>(std::move(Proposal))
+                      : Updated.status();
 }
 
-ExitCode reportProposal(const cxxopts::ParseResult &Options, const ToolIo &Io,
-                        const SignedChange &Subject) {
-  const std::string Id = proposalId(Subject.Content);
-  const std::string Edits = renderEdits(Subject.Content.Edits);
+ExitCode printProposalResult(const cxxopts::ParseResult &Options,
+                             const ToolIo &Io, const SignedChange &Proposal) {
+  const std::string Id = proposalId(Proposal.Content);
+  const std::string Edits = renderEdits(Proposal.Content.Edits);
   return printResult(
       Options, Io,
-      {{"id", Id}, {"base", Subject.Content.Base.Value}, {"edits", Edits}},
+      {{"id", Id}, {"base", Proposal.Content.Base.Value}, {"edits", Edits}},
       fmt::format("{}proposed as {}; the co-owner signs it with "
                   "balsamlatch sign {}\n",
                   Edits, Id, Id));
@@ -142,7 +143,8 @@
       cxxopts::value<std::uint64_t>(), "VERSION");
 }
 
-/// The file's text against the version that its owner started from.
+/// The text of the rules file with the text that it was edited from: that of
+/// the version given by --base, or the latest.
 absl::StatusOr<EditedText> editedText(const cxxopts::ParseResult &Options,
                                       ChainStore &Chain, const ChainView &View,
                                       const std::string &Text) {
@@ -150,14 +152,15 @@
     return EditedText{View.Latest.version(), View.Latest.text(), Text};
   }
   const RulesVersion Base(Options["base"].as<std::uint64_t>());
-  const absl::StatusOr<std::string> Old = Chain.textAtVersion(View, Base);
-  return Old.ok() ? absl::StatusOr<EditedText>(EditedText{Base, *Old, Text})
-                  : Old.status();
+  const absl::StatusOr<std::string> BaseText = Chain.textAtVersion(View, Base);
+  return BaseText.ok()
+             ? absl::StatusOr<EditedText>(EditedText{Base, *BaseText, Text})
+             : BaseText.status();
 }
 
 absl::StatusOr<SignedChange> proposeFile(const cxxopts::ParseResult &Options,
                                          const ToolIo &Io) {
-  const absl::StatusOr<std::string> Text = checkedRulesText(Options);
+  const absl::StatusOr<std::string> Text = readValidRules(Options);
   if (!Text.ok()) {
     return Text.status();
   }
@@ -181,9 +184,9 @@
 }
 
 ExitCode runPropose(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<SignedChange> Subject = proposeFile(Options, Io);
-  return Subject.ok() ? reportProposal(Options, Io, *Subject)
-                      : reportError(Options, Io, "propose", Subject.status());
+  const absl::StatusOr<SignedChange> Proposal = proposeFile(Options, Io);
+  return Proposal.ok() ? printProposalResult(Options, Io, *Proposal)
+                       : reportError(Options, Io, "propose", Proposal.status());
 }
 
 void addRollbackOptions(cxxopts::Options &Options) {
@@ -191,11 +194,14 @@
   addKeyOption(Options);
 }
 
-absl::StatusOr<SignedChange> proposeOld(const cxxopts::ParseResult &Options,
-                                        const ToolIo &Io) {
-  const absl::StatusOr<std::string> Word = singleArgument(Options, "version");
+/// Proposes the text of an earlier version. FailedPrecondition if the owners'
+/// keys have changed since, because a rollback would bring the old keys back.
+absl::StatusOr<SignedChange>
+proposeRollback(const cxxopts::ParseResult &Options, const ToolIo &Io) {
+  const absl::StatusOr<std::string> Argument =
+      singleArgument(Options, "version");
   const absl::StatusOr<std::uint64_t> Version =
-      Word.ok() ? parseNumber(*Word) : Word.status();
+      Argument.ok() ? parseNumber(*Argument) : Argument.status();
   const absl::StatusOr<PrivateKey> Key =
       Version.ok() ? readOwnerKey(Options) : Version.status();
   absl::StatusOr<ChainConnection> Chain =
@@ -216,9 +222,9 @@
   }
   if (*Owners != View->Latest.owners()) {
     return absl::FailedPreconditionError(
-        fmt::format("version {} has other owners' keys; take its text by "
-                    "balsamlatch show, put the present owner lines in, and "
-                    "propose it",
+        fmt::format("version {} has other owners' keys; print its text with "
+                    "balsamlatch show, insert the current owner lines, and "
+                    "propose the result",
                     *Version));
   }
   return propose(
@@ -228,9 +234,10 @@
 }
 
 ExitCode runRollback(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<SignedChange> Subject = proposeOld(Options, Io);
-  return Subject.ok() ? reportProposal(Options, Io, *Subject)
-                      : reportError(Options, Io, "rollback", Subject.status());
+  const absl::StatusOr<SignedChange> Proposal = proposeRollback(Options, Io);
+  return Proposal.ok()
+             ? printProposalResult(Options, Io, *Proposal)
+             : reportError(Options, Io, "rollback", Proposal.status());
 }
 
 } // namespace
--- a/Source/Tool/ProposeCommands.h
+++ b/Source/Tool/ProposeCommands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commands that bring texts to the store: init, propose and rollback.
+/// The commands that write or propose a rules text: init, propose and rollback.
 
 #ifndef BALSAMLATCH_TOOL_PROPOSECOMMANDS_H
 #define BALSAMLATCH_TOOL_PROPOSECOMMANDS_H
--- a/Source/Tool/ReplayCommand.cpp
+++ b/Source/Tool/ReplayCommand.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Arguments, files and output of the command `replay`.
+/// Implements the command line, the file access and the output of `replay`.
 
 #include "ReplayCommand.h"
 
@@ -18,84 +18,88 @@
 namespace {
 
 void addOptions(cxxopts::Options &Options) {
-  cxxopts::OptionAdder Add = Options.add_options();
-  Add("rules", "Rules file.", cxxopts::value<std::string>(), "FILE");
-  Add("policy", "slot-grants, two-random-choices or round-robin.",
-      cxxopts::value<std::string>()->default_value("slot-grants"), "NAME");
-  Add("seed", "Seed of the engines, or of the generated trace.",
-      cxxopts::value<std::uint64_t>()->default_value("1"), "N");
-  Add("json", "Print one JSON object.");
-  Add("time", "Also print the processor time of a decision.");
-  Add("generate", "Print a trace of this length for the rules instead.",
-      cxxopts::value<unsigned>(), "SECONDS");
-  Add("fault-pairs", "Pairs of faults in a generated trace.",
-      cxxopts::value<unsigned>()->default_value("0"), "N");
+  cxxopts::OptionAdder AddOption = Options.add_options();
+  AddOption("rules", "Rules file.", cxxopts::value<std::string>(), "FILE");
+  AddOption("policy", "slot-grants, two-random-choices or round-robin.",
+            cxxopts::value<std::string>()->default_value("slot-grants"),
+            "NAME");
+  AddOption("seed", "Seed of the engines, or of the generated trace.",
+            cxxopts::value<std::uint64_t>()->default_value("1"), "N");
+  AddOption("json", "Print one JSON object.");
+  AddOption("time", "Also print the processor time of a decision.");
+  AddOption("generate", "Print a trace of this length for the rules instead.",
+            cxxopts::value<unsigned>(), "SECONDS");
+  AddOption("fault-pairs", "Pairs of faults in a generated trace.",
+            cxxopts::value<unsigned>()->default_value("0"), "N");
 }
 
-std::optional<placement::Policy> policyOf(const std::string &Name) {
-  const std::map<std::string, placement::Policy> Known{
+std::optional<placement::Policy> parsePolicy(const std::string &Name) {
+  const std::map<std::string, placement::Policy> Policies{
       {"slot-grants", placement::Policy::SlotGrants},
       {"two-random-choices", placement::Policy::TwoRandomChoices},
       {"round-robin", placement::Policy::RoundRobin}};
-  const auto Found = Known.find(Name);
-  return Found == Known.end() ? std::nullopt : std::optional(Found->second);
+  const auto Match = Policies.find(Name);
+  return Match == Policies.end() ? std::nullopt : std::optional(Match->second);
 }
 
-ExitCode usage(const ToolIo &Io, const std::string &What) {
-  Io.Err << "balsamlatch replay: " << What << "\n";
+ExitCode printUsageError(const ToolIo &Io, const std::string &Message) {
+  Io.Err << "balsamlatch replay: " << Message << "\n";
   return ExitCode::Usage;
 }
 
-ExitCode replayTrace(const cxxopts::ParseResult &Given, const RuleSetPtr &Rules,
-                     const ToolIo &Io) {
-  const std::vector<std::string> Words = positionalArguments(Given);
-  const std::optional<placement::Policy> Choice =
-      policyOf(Given["policy"].as<std::string>());
-  if (Words.size() != 1 || !Choice) {
-    return usage(Io, Choice ? "name one trace file"
-                            : "--policy is slot-grants, two-random-choices or "
-                              "round-robin");
+ExitCode replayTrace(const cxxopts::ParseResult &Options,
+                     const RuleSetPtr &Rules, const ToolIo &Io) {
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  const std::optional<placement::Policy> SelectedPolicy =
+      parsePolicy(Options["policy"].as<std::string>());
+  if (Arguments.size() != 1 || !SelectedPolicy) {
+    return printUsageError(
+        Io, SelectedPolicy ? "name one trace file"
+                           : "--policy is slot-grants, two-random-choices or "
+                             "round-robin");
   }
-  const absl::StatusOr<std::string> Text = readFile(Words.front());
+  const absl::StatusOr<std::string> Text = readFile(Arguments.front());
   if (!Text.ok()) {
-    return usage(Io, "can't read " + Words.front());
+    return printUsageError(Io, "can't read " + Arguments.front());
   }
-  const replay::Trace Read = replay::parseTrace(Words.front(), *Text);
-  if (Read.Problems.hasErrors()) {
-    Io.Err << Read.Problems.render();
+  const replay::Trace ParsedTrace =
+      replay::parseTrace(Arguments.front(), *Text);
+  if (ParsedTrace.Problems.hasErrors()) {
+    Io.Err << ParsedTrace.Problems.render();
     return ExitCode::Refused;
   }
-  const replay::Report Result = replay::replay(
-      Read.Lines, Rules,
-      {*Choice, Given["seed"].as<std::uint64_t>(), Given.count("time") > 0});
-  Io.Out << (Given.count("json") > 0 ? replay::printReportJson(Result)
-                                     : replay::printReport(Result));
+  const replay::Report Result =
+      replay::replay(ParsedTrace.Lines, Rules,
+                     {*SelectedPolicy, Options["seed"].as<std::uint64_t>(),
+                      Options.count("time") > 0});
+  Io.Out << (Options.count("json") > 0 ? replay::printReportJson(Result)
+                                       : replay::printReport(Result));
   return Result.Breaches.empty() ? ExitCode::Done : ExitCode::Refused;
 }
 
-ExitCode run(const cxxopts::ParseResult &Given, const ToolIo &Io) {
-  if (Given.count("rules") == 0) {
-    return usage(Io, "name the rules file with --rules");
+ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
+  if (Options.count("rules") == 0) {
+    return printUsageError(Io, "name the rules file with --rules");
   }
-  const std::string Path = Given["rules"].as<std::string>();
+  const std::string Path = Options["rules"].as<std::string>();
   const absl::StatusOr<std::string> Text = readFile(Path);
   if (!Text.ok()) {
-    return usage(Io, "can't read " + Path);
+    return printUsageError(Io, "can't read " + Path);
   }
-  const ParsedRules Parsed = parseRules(Path, *Text);
-  if (Parsed.Problems.hasErrors()) {
-    Io.Err << Parsed.Problems.render();
+  const ParsedRules RulesFile = parseRules(Path, *Text);
+  if (RulesFile.Problems.hasErrors()) {
+    Io.Err << RulesFile.Problems.render();
     return ExitCode::Refused;
   }
-  const auto Rules = std::make_shared<const RuleSet>(Parsed.Rules);
-  if (Given.count("generate") == 0) {
-    return replayTrace(Given, Rules, Io);
+  const auto Rules = std::make_shared<const RuleSet>(RulesFile.Rules);
+  if (Options.count("generate") == 0) {
+    return replayTrace(Options, Rules, Io);
   }
-  replay::LoadShape Shape;
-  Shape.Seed = Given["seed"].as<std::uint64_t>();
-  Shape.Length = std::chrono::seconds(Given["generate"].as<unsigned>());
-  Shape.FaultPairs = Given["fault-pairs"].as<unsigned>();
-  Io.Out << replay::printTrace(replay::generate(*Rules, Shape));
+  replay::LoadShape Load;
+  Load.Seed = Options["seed"].as<std::uint64_t>();
+  Load.Length = std::chrono::seconds(Options["generate"].as<unsigned>());
+  Load.FaultPairs = Options["fault-pairs"].as<unsigned>();
+  Io.Out << replay::printTrace(replay::generate(*Rules, Load));
   return ExitCode::Done;
 }
 
--- a/Source/Tool/ReplayCommand.h
+++ b/Source/Tool/ReplayCommand.h
@@ -1,5 +1,5 @@
 /// \file
-/// The command `replay`: a trace through the placement engine.
+/// The command `replay`: runs a recorded trace through the placement engine.
 
 #ifndef BALSAMLATCH_TOOL_REPLAYCOMMAND_H
 #define BALSAMLATCH_TOOL_REPLAYCOMMAND_H
--- a/Source/Tool/RulesFileCommands.cpp
+++ b/Source/Tool/RulesFileCommands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The commands `check` and `fmt`.
+/// Implements the commands `check` and `fmt`.
 
 #include "RulesFileCommands.h"
 #include "StatusText.h"
@@ -15,13 +15,14 @@
 
 namespace {
 
-/// The one file named on the command line, or nothing after a message.
-absl::StatusOr<std::string> onlyFile(const cxxopts::ParseResult &Options) {
-  const std::vector<std::string> Words = positionalArguments(Options);
-  if (Words.size() != 1) {
+/// The path of the one rules file that the command line names; a usage error
+/// otherwise.
+absl::StatusOr<std::string> rulesFilePath(const cxxopts::ParseResult &Options) {
+  const std::vector<std::string> Arguments = positionalArguments(Options);
+  if (Arguments.size() != 1) {
     return usageError("name one rules file");
   }
-  return Words.front();
+  return Arguments.front();
 }
 
 ExitCode reportError(const ToolIo &Io, std::string_view Name,
@@ -35,22 +36,23 @@
 }
 
 ExitCode runCheck(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<std::string> Path = onlyFile(Options);
+  const absl::StatusOr<std::string> Path = rulesFilePath(Options);
   const absl::StatusOr<std::string> Text =
       Path.ok() ? readFile(*Path) : Path.status();
   if (!Text.ok()) {
     return reportError(Io, "check", Text.status());
   }
-  const ParsedRules Parsed = parseRules(*Path, *Text);
-  const bool Bad = Parsed.Problems.hasErrors();
+  const ParsedRules RulesFile = parseRules(*Path, *Text);
+  const bool HasErrors = RulesFile.Problems.hasErrors();
   if (Options.count("json") != 0) {
     Io.Out << boost::json::serialize(boost::json::object{
-                  {"good", !Bad}, {"findings", findingsJson(Parsed.Problems)}})
+                  {"good", !HasErrors},
+                  {"findings", findingsJson(RulesFile.Problems)}})
            << '\n';
   } else {
-    Io.Err << Parsed.Problems.render();
+    Io.Err << RulesFile.Problems.render();
   }
-  return Bad ? ExitCode::Refused : ExitCode::Done;
+  return HasErrors ? ExitCode::Refused : ExitCode::Done;
 }
 
 void addFormatOptions(cxxopts::Options &Options) {
@@ -60,23 +62,25 @@
 }
 
 ExitCode runFormat(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  const absl::StatusOr<std::string> Path = onlyFile(Options);
+  const absl::StatusOr<std::string> Path = rulesFilePath(Options);
   const absl::StatusOr<std::string> Text =
       Path.ok() ? readFile(*Path) : Path.status();
   if (!Text.ok()) {
     return reportError(Io, "fmt", Text.status());
   }
-  const std::string Tidy = formatRules(*Text);
+  const std::string FormattedText = formatRules(*Text);
   if (Options.count("check") != 0) {
-    return Tidy == *Text ? ExitCode::Done : ExitCode::Refused;
+    return FormattedText == *Text ? ExitCode::Done : ExitCode::Refused;
   }
   if (Options.count("write") == 0) {
-    Io.Out << Tidy;
+    Io.Out << FormattedText;
     return ExitCode::Done;
   }
-  const absl::Status Written =
-      Tidy == *Text ? absl::OkStatus() : writeFile(*Path, Tidy);
-  return Written.ok() ? ExitCode::Done : reportError(Io, "fmt", Written);
+  const absl::Status WriteStatus = FormattedText == *Text
+                                       ? absl::OkStatus()
+                                       : writeFile(*Path, FormattedText);
+  return WriteStatus.ok() ? ExitCode::Done
+                          : reportError(Io, "fmt", WriteStatus);
 }
 
 } // namespace
--- a/Source/Tool/RulesFileCommands.h
+++ b/Source/Tool/RulesFileCommands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commands on a rules file: check and fmt.
+/// The commands that work on a rules file without a store: check and fmt.
 
 #ifndef BALSAMLATCH_TOOL_RULESFILECOMMANDS_H
 #define BALSAMLATCH_TOOL_RULESFILECOMMANDS_H
--- a/Source/Tool/SignCommands.cpp
+++ b/Source/Tool/SignCommands.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The commands `sign`, `reject` and `withdraw`.
+/// Implements the commands `sign`, `reject` and `withdraw`.
 
 #include "SignCommands.h"
 
@@ -19,16 +19,17 @@
   addKeyOption(Options);
 }
 
-/// What the three commands start from.
-struct Session {
+/// What the three commands need: the opened chain, the private key, the
+/// verified view and the proposal that is named on the command line.
+struct ProposalContext {
   ChainConnection Chain;
   PrivateKey Key;
   ChainView View;
-  SignedChange Subject;
+  SignedChange Proposal;
 };
 
-absl::StatusOr<Session> openSession(const cxxopts::ParseResult &Options,
-                                    const ToolIo &Io) {
+absl::StatusOr<ProposalContext>
+openProposal(const cxxopts::ParseResult &Options, const ToolIo &Io) {
   const absl::StatusOr<std::string> Id = singleArgument(Options, "proposal");
   absl::StatusOr<PrivateKey> Key =
       Id.ok() ? readOwnerKey(Options) : Id.status();
@@ -36,128 +37,133 @@
       Key.ok() ? ChainConnection::open(Options, Io) : Key.status();
   absl::StatusOr<ChainView> View =
       Chain.ok() ? (*Chain)->view() : Chain.status();
-  const absl::StatusOr<Proposals> All =
+  const absl::StatusOr<Proposals> List =
       View.ok() ? (*Chain)->proposals() : View.status();
-  absl::StatusOr<SignedChange> Subject =
-      All.ok() ? findProposal(*All, *Id) : All.status();
-  if (!Subject.ok()) {
-    return Subject.status();
+  absl::StatusOr<SignedChange> Proposal =
+      List.ok() ? findProposal(*List, *Id) : List.status();
+  if (!Proposal.ok()) {
+    return Proposal.status();
   }
-  return Session{*std::move(Chain), *std::move(Key), *std::move(View),
-                 *std::move(Subject)};
+  return ProposalContext{*std::move(Chain), *std::move(Key), *std::move(View),
+                         *std::move(Proposal)};
 }
 
-/// Takes the proposal off the list.
-absl::Status close(Session &Present, const std::string &How) {
-  const std::string Id = proposalId(Present.Subject.Content);
-  const OwnerName By(
-      ownerName(Present.View.Latest.text(), Present.Key.publicKey()));
-  return Present.Chain
-      ->editProposals([&](Proposals &All) {
-        const std::size_t Gone =
-            std::erase_if(All.Open, [&](const SignedChange &Other) {
-              return Other.Content == Present.Subject.Content;
+/// Moves the proposal from the open to the closed proposals. Does nothing if it
+/// isn't open any more.
+absl::Status closeProposal(ProposalContext &Context,
+                           const std::string &Outcome) {
+  const std::string Id = proposalId(Context.Proposal.Content);
+  const OwnerName ClosedBy(
+      ownerName(Context.View.Latest.text(), Context.Key.publicKey()));
+  return Context.Chain
+      ->editProposals([&](Proposals &List) {
+        const std::size_t RemovedCount =
+            std::erase_if(List.Open, [&](const SignedChange &Listed) {
+              return Listed.Content == Context.Proposal.Content;
             });
-        if (Gone != 0) {
-          All.Closed.push_back({Id, By, How});
+        if (RemovedCount != 0) {
+          List.Closed.push_back({Id, ClosedBy, Outcome});
         }
         return absl::OkStatus();
       })
       .status();
 }
 
-/// Adds the signature to the listed proposal and takes over the others'.
-absl::Status addSignature(Session &Present) {
-  const Change &Content = Present.Subject.Content;
-  const Approval Mine = approve(Content, Present.Key);
-  const absl::StatusOr<Proposals> All =
-      Present.Chain->editProposals([&](Proposals &Listed) {
-        for (SignedChange &Other : Listed.Open) {
-          if (Other.Content != Content) {
+/// Adds the key's signature to the open proposal in the store, and reads that
+/// proposal with all its signatures back into \p Context.
+absl::Status addSignature(ProposalContext &Context) {
+  const Change &Content = Context.Proposal.Content;
+  const Approval NewApproval = approve(Content, Context.Key);
+  const absl::StatusOr<Proposals> Updated =
+      Context.Chain->editProposals([&](Proposals &List) {
+        for (SignedChange &Listed : List.Open) {
+          if (Listed.Content != Content) {
             continue;
           }
-          std::erase_if(Other.Approvals, [&](const Approval &Given) {
-            return Given.Key == Mine.Key;
+          std::erase_if(Listed.Approvals, [&](const Approval &Existing) {
+            return Existing.Key == NewApproval.Key;
           });
-          Other.Approvals.push_back(Mine);
+          Listed.Approvals.push_back(NewApproval);
           return absl::OkStatus();
         }
-        return absl::NotFoundError("the proposal was closed meanwhile");
+        return absl::NotFoundError("the proposal is no longer open");
       });
-  if (!All.ok()) {
-    return All.status();
+  if (!Updated.ok()) {
+    return Updated.status();
   }
-  for (const SignedChange &Other : All->Open) {
-    if (Other.Content == Content) {
-      Present.Subject = Other;
+  for (const SignedChange &Listed : Updated->Open) {
+    if (Listed.Content == Content) {
+      Context.Proposal = Listed;
     }
   }
   return absl::OkStatus();
 }
 
-std::vector<std::string> namesOf(const Session &Present,
-                                 const std::vector<PublicKey> &Keys) {
+std::vector<std::string> ownerNames(const ProposalContext &Context,
+                                    const std::vector<PublicKey> &Keys) {
   std::vector<std::string> Names;
   Names.reserve(Keys.size());
   for (const PublicKey &Key : Keys) {
-    Names.push_back(ownerName(Present.View.Latest.text(), Key));
+    Names.push_back(ownerName(Context.View.Latest.text(), Key));
   }
   return Names;
 }
 
-/// Signs, and lands the change once it has all signatures. Empty: it waits for
-/// the keys in \p Missing.
+/// Signs the proposal, and adds it to the chain if all signatures are there.
+/// Returns the version in force, or nothing if signatures are still missing;
+/// \p MissingKeys then receives their keys.
 absl::StatusOr<std::optional<RulesVersion>>
-sign(Session &Present, std::vector<PublicKey> &Missing) {
-  absl::StatusOr<std::vector<PublicKey>> Needed =
-      missingSigners(Present.View, Present.Subject);
-  if (!Needed.ok()) {
-    return Needed.status();
+sign(ProposalContext &Context, std::vector<PublicKey> &MissingKeys) {
+  absl::StatusOr<std::vector<PublicKey>> RemainingKeys =
+      missingSigners(Context.View, Context.Proposal);
+  if (!RemainingKeys.ok()) {
+    return RemainingKeys.status();
   }
-  const auto Mine =
-      std::find(Needed->begin(), Needed->end(), Present.Key.publicKey());
-  if (Mine == Needed->end() && !Needed->empty()) {
+  const auto OwnKey = std::find(RemainingKeys->begin(), RemainingKeys->end(),
+                                Context.Key.publicKey());
+  if (OwnKey == RemainingKeys->end() && !RemainingKeys->empty()) {
     return absl::PermissionDeniedError(
-        approvedBy(Present.Subject, Present.Key.publicKey())
+        approvedBy(Context.Proposal, Context.Key.publicKey())
             ? fmt::format("you have signed this; it waits for {}",
-                          fmt::join(namesOf(Present, *Needed), ", "))
+                          fmt::join(ownerNames(Context, *RemainingKeys), ", "))
             : "the key is none of those that must sign");
   }
-  if (Mine != Needed->end()) {
-    const absl::Status Added = addSignature(Present);
-    if (!Added.ok()) {
-      return Added;
+  if (OwnKey != RemainingKeys->end()) {
+    const absl::Status AddStatus = addSignature(Context);
+    if (!AddStatus.ok()) {
+      return AddStatus;
     }
-    Needed = missingSigners(Present.View, Present.Subject);
-    if (!Needed.ok() || !Needed->empty()) {
-      Missing = Needed.value_or(std::vector<PublicKey>());
+    RemainingKeys = missingSigners(Context.View, Context.Proposal);
+    if (!RemainingKeys.ok() || !RemainingKeys->empty()) {
+      MissingKeys = RemainingKeys.value_or(std::vector<PublicKey>());
       return std::optional<RulesVersion>();
     }
   }
-  const absl::StatusOr<RulesVersion> Landed =
-      Present.Chain->land(Present.Subject, Present.Key);
-  if (!Landed.ok()) {
-    return Landed.status();
+  const absl::StatusOr<RulesVersion> LandedVersion =
+      Context.Chain->land(Context.Proposal, Context.Key);
+  if (!LandedVersion.ok()) {
+    return LandedVersion.status();
   }
-  const absl::Status Closed = close(Present, "landed");
-  return Closed.ok() ? absl::StatusOr<std::optional<RulesVersion>>(*Landed)
-                     : Closed;
+  const absl::Status CloseStatus = closeProposal(Context, "landed");
+  return CloseStatus.ok()
+             ? absl::StatusOr<std::optional<RulesVersion>>(*LandedVersion)
+             : CloseStatus;
 }
 
 ExitCode runSign(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  absl::StatusOr<Session> Present = openSession(Options, Io);
-  if (!Present.ok()) {
-    return reportError(Options, Io, "sign", Present.status());
+  absl::StatusOr<ProposalContext> Context = openProposal(Options, Io);
+  if (!Context.ok()) {
+    return reportError(Options, Io, "sign", Context.status());
   }
-  std::vector<PublicKey> Missing;
+  std::vector<PublicKey> MissingKeys;
   const absl::StatusOr<std::optional<RulesVersion>> Version =
-      sign(*Present, Missing);
+      sign(*Context, MissingKeys);
   if (!Version.ok()) {
     return reportError(Options, Io, "sign", Version.status());
   }
-  const std::string Edits = renderEdits(Present->Subject.Content.Edits);
+  const std::string Edits = renderEdits(Context->Proposal.Content.Edits);
   if (!*Version) {
-    const std::vector<std::string> Names = namesOf(*Present, Missing);
+    const std::vector<std::string> Names = ownerNames(*Context, MissingKeys);
     return printResult(
         Options, Io,
         {{"inForce", false}, {"missing", boost::json::value_from(Names)}},
@@ -168,39 +174,42 @@
       fmt::format("{}in force as version {}\n", Edits, (*Version)->Value));
 }
 
-ExitCode closeAs(const cxxopts::ParseResult &Options, const ToolIo &Io,
-                 std::string_view Name, const std::string &How) {
-  absl::StatusOr<Session> Present = openSession(Options, Io);
-  absl::Status Done = Present.status();
-  if (Present.ok()) {
-    const PublicKey &Key = Present->Key.publicKey();
-    const OwnerKeys &Owners = Present->View.Latest.owners();
-    const std::string Who = ownerName(Present->View.Latest.text(), Key);
-    const bool Proposer = Who == Present->Subject.Content.Proposer.Text;
+/// Closes the proposal with \p Outcome: "withdrawn" by its proposer, "rejected"
+/// by the other owner.
+ExitCode runClose(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                  std::string_view CommandName, const std::string &Outcome) {
+  absl::StatusOr<ProposalContext> Context = openProposal(Options, Io);
+  absl::Status CloseStatus = Context.status();
+  if (Context.ok()) {
+    const PublicKey &Key = Context->Key.publicKey();
+    const OwnerKeys &Owners = Context->View.Latest.owners();
+    const std::string KeyName = ownerName(Context->View.Latest.text(), Key);
+    const bool IsProposer = KeyName == Context->Proposal.Content.Proposer.Text;
     if (std::find(Owners.begin(), Owners.end(), Key) == Owners.end()) {
-      Done = absl::PermissionDeniedError("the key is none of the two owners'");
-    } else if (Proposer != (How == "withdrawn")) {
-      Done = absl::PermissionDeniedError(
-          Proposer ? "this is your own proposal; use withdraw"
-                   : "only the proposer withdraws; use reject");
+      CloseStatus =
+          absl::PermissionDeniedError("the key belongs to neither owner");
+    } else if (IsProposer != (Outcome == "withdrawn")) {
+      CloseStatus = absl::PermissionDeniedError(
+          IsProposer ? "this is your own proposal; use withdraw"
+                     : "only the proposer withdraws; use reject");
     } else {
-      Done = close(*Present, How);
+      CloseStatus = closeProposal(*Context, Outcome);
     }
   }
-  if (!Done.ok()) {
-    return reportError(Options, Io, Name, Done);
+  if (!CloseStatus.ok()) {
+    return reportError(Options, Io, CommandName, CloseStatus);
   }
-  const std::string Id = proposalId(Present->Subject.Content);
-  return printResult(Options, Io, {{"id", Id}, {"closed", How}},
-                     fmt::format("proposal {} is {}\n", Id, How));
+  const std::string Id = proposalId(Context->Proposal.Content);
+  return printResult(Options, Io, {{"id", Id}, {"closed", Outcome}},
+                     fmt::format("proposal {} is {}\n", Id, Outcome));
 }
 
 ExitCode runReject(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return closeAs(Options, Io, "reject", "rejected");
+  return runClose(Options, Io, "reject", "rejected");
 }
 
 ExitCode runWithdraw(const cxxopts::ParseResult &Options, const ToolIo &Io) {
-  return closeAs(Options, Io, "withdraw", "withdrawn");
+  return runClose(Options, Io, "withdraw", "withdrawn");
 }
 
 } // namespace
--- a/Source/Tool/SignCommands.h
+++ b/Source/Tool/SignCommands.h
@@ -1,5 +1,5 @@
 /// \file
-/// Commands on a proposal: sign, reject and withdraw.
+/// The commands that sign or close a proposal: sign, reject and withdraw.
 
 #ifndef BALSAMLATCH_TOOL_SIGNCOMMANDS_H
 #define BALSAMLATCH_TOOL_SIGNCOMMANDS_H
--- a/Source/Tool/StatusCommand.cpp
+++ b/Source/Tool/StatusCommand.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Shows entries side by side, so that one sees who lags, and the pools and
-/// hosts as the first entry that answers knows them.
+/// Implements the command `status`: prints a line for each entry, marks those
+/// with older rules, and prints the pools and hosts that the first responding
+/// entry reports.
 
 #include "StatusCommand.h"
 
@@ -25,35 +26,37 @@
       "watch", "Show again every two seconds.");
 }
 
-bool boolMember(const boost::json::object &From, std::string_view Member) {
-  const boost::json::value *Found = From.if_contains(Member);
-  return Found != nullptr && Found->is_bool() && Found->get_bool();
+bool boolMember(const boost::json::object &Object, std::string_view Member) {
+  const boost::json::value *Value = Object.if_contains(Member);
+  return Value != nullptr && Value->is_bool() && Value->get_bool();
 }
 
-const boost::json::object &objectMember(const boost::json::object &From,
+const boost::json::object &objectMember(const boost::json::object &Object,
                                         std::string_view Member) {
-  static const boost::json::object None;
-  const boost::json::value *Found = From.if_contains(Member);
-  return Found != nullptr && Found->is_object() ? Found->get_object() : None;
+  static const boost::json::object EmptyObject;
+  const boost::json::value *Value = Object.if_contains(Member);
+  return Value != nullptr && Value->is_object() ? Value->get_object()
+                                                : EmptyObject;
 }
 
-std::vector<boost::json::object> listMember(const boost::json::object &From,
+std::vector<boost::json::object> listMember(const boost::json::object &Object,
                                             std::string_view Member) {
-  std::vector<boost::json::object> All;
-  const boost::json::value *Found = From.if_contains(Member);
-  if (Found != nullptr && Found->is_array()) {
-    for (const boost::json::value &One : Found->get_array()) {
-      if (One.is_object()) {
-        All.push_back(One.get_object());
+  std::vector<boost::json::object> Objects;
+  const boost::json::value *Value = Object.if_contains(Member);
+  if (Value != nullptr && Value->is_array()) {
+    for (const boost::json::value &Element : Value->get_array()) {
+      if (Element.is_object()) {
+        Objects.push_back(Element.get_object());
       }
     }
   }
-  return All;
+  return Objects;
 }
 
-std::string entryLine(const boost::json::object &Page, std::uint64_t Newest) {
+std::string entryLine(const boost::json::object &Page,
+                      std::uint64_t NewestRules) {
   const std::uint64_t Rules = numberMember(Page, "rules");
-  const boost::json::object &Ended = objectMember(Page, "ended");
+  const boost::json::object &EndedRequests = objectMember(Page, "ended");
   return fmt::format(
       "{:<16} {:<10} rules {:<5} ledger {:<6} open {:<6} answered {} not-run "
       "{} unknown {}{}{}{}\n",
@@ -62,10 +65,12 @@
       : boolMember(Page, "stopping") ? "stopping"
                                      : "not-ready",
       Rules, numberMember(objectMember(Page, "ledger"), "version"),
-      numberMember(Page, "open_requests"), numberMember(Ended, "answered"),
-      numberMember(Ended, "not_run"), numberMember(Ended, "unknown"),
+      numberMember(Page, "open_requests"),
+      numberMember(EndedRequests, "answered"),
+      numberMember(EndedRequests, "not_run"),
+      numberMember(EndedRequests, "unknown"),
       boolMember(Page, "leads") ? " leads" : "",
-      Rules < Newest ? " RULES BEHIND" : "",
+      Rules < NewestRules ? " RULES BEHIND" : "",
       boolMember(Page, "embedded") ? " embedded" : "");
 }
 
@@ -104,59 +109,59 @@
   return Text;
 }
 
-/// What the entries answered, and which gave no answer.
-struct Shown {
+/// The status pages of the entries, and the messages of failed requests.
+struct EntryPages {
   std::vector<boost::json::object> Pages;
-  std::vector<std::string> Faults;
+  std::vector<std::string> Errors;
 };
 
-Shown ask(const std::vector<Address> &Entries, bool WithHosts) {
-  Shown Found;
+EntryPages fetchPages(const std::vector<Address> &Entries, bool ShowHosts) {
+  EntryPages Result;
   for (const Address &Entry : Entries) {
     absl::StatusOr<boost::json::object> Page =
-        fetchJson(Entry, WithHosts ? "/v1/status?hosts=1" : "/v1/status");
+        fetchJson(Entry, ShowHosts ? "/v1/status?hosts=1" : "/v1/status");
     if (Page.ok()) {
-      Found.Pages.push_back(*std::move(Page));
+      Result.Pages.push_back(*std::move(Page));
     } else {
-      Found.Faults.push_back(messageOf(Page.status()));
+      Result.Errors.push_back(messageOf(Page.status()));
     }
   }
-  return Found;
+  return Result;
 }
 
-std::string render(const Shown &Found, bool WithHosts) {
-  std::uint64_t Newest = 0;
-  for (const boost::json::object &Page : Found.Pages) {
-    Newest = std::max(Newest, numberMember(Page, "rules"));
+std::string render(const EntryPages &Responses, bool ShowHosts) {
+  std::uint64_t NewestRules = 0;
+  for (const boost::json::object &Page : Responses.Pages) {
+    NewestRules = std::max(NewestRules, numberMember(Page, "rules"));
   }
   std::string Text;
-  for (const boost::json::object &Page : Found.Pages) {
-    Text += entryLine(Page, Newest);
+  for (const boost::json::object &Page : Responses.Pages) {
+    Text += entryLine(Page, NewestRules);
   }
-  if (Found.Pages.empty()) {
+  if (Responses.Pages.empty()) {
     return Text;
   }
-  const boost::json::object &First = Found.Pages.front();
-  const std::string Halt =
-      textMember(objectMember(First, "ledger"), "halted_by");
-  if (!Halt.empty()) {
-    Text += fmt::format("operations halted by {}\n", Halt);
+  const boost::json::object &FirstPage = Responses.Pages.front();
+  const std::string HaltedBy =
+      textMember(objectMember(FirstPage, "ledger"), "halted_by");
+  if (!HaltedBy.empty()) {
+    Text += fmt::format("operations halted by {}\n", HaltedBy);
   }
-  Text += poolLines(First);
-  return WithHosts ? Text + hostLines(First) : Text;
+  Text += poolLines(FirstPage);
+  return ShowHosts ? Text + hostLines(FirstPage) : Text;
 }
 
-ExitCode showOnce(const cxxopts::ParseResult &Options, const ToolIo &Io,
-                  const std::vector<Address> &Entries) {
-  const bool WithHosts = Options.count("hosts") != 0;
-  Shown Found = ask(Entries, WithHosts);
-  for (const std::string &Fault : Found.Faults) {
-    Io.Err << fmt::format("balsamlatch status: {}\n", Fault);
+ExitCode printStatus(const cxxopts::ParseResult &Options, const ToolIo &Io,
+                     const std::vector<Address> &Entries) {
+  const bool ShowHosts = Options.count("hosts") != 0;
+  EntryPages Responses = fetchPages(Entries, ShowHosts);
+  for (const std::string &Error : Responses.Errors) {
+    Io.Err << fmt::format("balsamlatch status: {}\n", Error);
   }
-  const std::string Text = render(Found, WithHosts);
-  boost::json::array Pages(Found.Pages.begin(), Found.Pages.end());
+  const std::string Text = render(Responses, ShowHosts);
+  boost::json::array Pages(Responses.Pages.begin(), Responses.Pages.end());
   printResult(Options, Io, {{"entries", std::move(Pages)}}, Text);
-  return Found.Faults.empty() ? ExitCode::Done : ExitCode::Unavailable;
+  return Responses.Errors.empty() ? ExitCode::Done : ExitCode::Unavailable;
 }
 
 ExitCode run(const cxxopts::ParseResult &Options, const ToolIo &Io) {
@@ -165,11 +170,11 @@
     return reportError(Options, Io, "status", Entries.status());
   }
   while (Options.count("watch") != 0) {
-    showOnce(Options, Io, *Entries);
+    printStatus(Options, Io, *Entries);
     Io.Out << std::endl;
     std::this_thread::sleep_for(WatchPeriod);
   }
-  return showOnce(Options, Io, *Entries);
+  return printStatus(Options, Io, *Entries);
 }
 
 } // namespace
--- a/Source/Tool/StatusCommand.h
+++ b/Source/Tool/StatusCommand.h
@@ -1,5 +1,5 @@
 /// \file
-/// The command `status`: what each entry says of itself.
+/// The command `status`: the state of entries, pools and hosts.
 
 #ifndef BALSAMLATCH_TOOL_STATUSCOMMAND_H
 #define BALSAMLATCH_TOOL_STATUSCOMMAND_H
--- a/Source/Tool/StatusText.h
+++ b/Source/Tool/StatusText.h
@@ -1,5 +1,5 @@
 /// \file
-/// Messages of statuses as standard strings, and faults of the command line.
+/// Status messages as strings, and statuses that mark command line errors.
 
 #ifndef BALSAMLATCH_TOOL_STATUSTEXT_H
 #define BALSAMLATCH_TOOL_STATUSTEXT_H
@@ -14,13 +14,14 @@
   return std::string(Status.message());
 }
 
-/// A fault of the command line, for which commands exit with Usage.
+/// An error of the command line, for which commands return ExitCode::Usage.
 inline absl::Status usageError(const std::string &Message) {
   absl::Status Status = absl::InvalidArgumentError(Message);
   Status.SetPayload("usage", absl::Cord());
   return Status;
 }
 
+/// Whether usageError() made the status.
 inline bool isUsageError(const absl::Status &Status) {
   return Status.GetPayload("usage").has_value();
 }
--- a/Source/Tool/StoreCaller.h
+++ b/Source/Tool/StoreCaller.h
@@ -1,5 +1,5 @@
 /// \file
-/// One store request at a time, for commands.
+/// Interface for blocking store requests, one at a time.
 
 #ifndef BALSAMLATCH_TOOL_STORECALLER_H
 #define BALSAMLATCH_TOOL_STORECALLER_H
@@ -8,7 +8,7 @@
 
 namespace balsamlatch {
 
-/// Calls the store and waits for the reply.
+/// Sends a request to the store and waits for the reply.
 class StoreCaller {
 public:
   virtual ~StoreCaller() = default;
--- a/Source/Tool/ToolFiles.cpp
+++ b/Source/Tool/ToolFiles.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reading and writing of whole files.
+/// Implements reading and writing of whole files.
 
 #include "ToolFiles.h"
 
@@ -12,12 +12,13 @@
 namespace balsamlatch {
 
 absl::StatusOr<std::string> readFile(const std::string &Path) {
-  std::ifstream In(Path, std::ios::binary);
+  std::ifstream Input(Path, std::ios::binary);
   std::ostringstream Text;
-  if (!In || std::filesystem::is_directory(Path) || !(Text << In.rdbuf())) {
-    // An empty file sets the stream's fail bit too.
+  if (!Input || std::filesystem::is_directory(Path) ||
+      !(Text << Input.rdbuf())) {
+    // Copying an empty file sets the output stream's fail bit, too.
     std::error_code Error;
-    if (In && std::filesystem::file_size(Path, Error) == 0 && !Error) {
+    if (Input && std::filesystem::file_size(Path, Error) == 0 && !Error) {
       return std::string();
     }
     return absl::NotFoundError(Path + ": can't be read");
@@ -26,29 +27,29 @@
 }
 
 absl::Status writeFile(const std::string &Path, const std::string &Text) {
-  const std::string Temporary = Path + ".new";
+  const std::string TemporaryPath = Path + ".new";
   {
-    std::ofstream Out(Temporary, std::ios::binary | std::ios::trunc);
-    if (!(Out << Text) || !Out.flush()) {
-      return absl::UnavailableError(Temporary + ": can't be written");
+    std::ofstream Output(TemporaryPath, std::ios::binary | std::ios::trunc);
+    if (!(Output << Text) || !Output.flush()) {
+      return absl::UnavailableError(TemporaryPath + ": can't be written");
     }
   }
   std::error_code Error;
-  std::filesystem::rename(Temporary, Path, Error);
+  std::filesystem::rename(TemporaryPath, Path, Error);
   return Error ? absl::UnavailableError(Path + ": " + Error.message())
                : absl::OkStatus();
 }
 
 boost::json::array findingsJson(const Findings &All) {
   boost::json::array List;
-  for (const Finding &F : All.all()) {
+  for (const Finding &Item : All.all()) {
     List.push_back(boost::json::object{
-        {"file", F.Place.File},
-        {"line", F.Place.Line},
-        {"column", F.Place.Column},
-        {"level", F.Level == Severity::Error ? "error" : "warning"},
-        {"message", F.Message},
-        {"remedy", F.Remedy}});
+        {"file", Item.Place.File},
+        {"line", Item.Place.Line},
+        {"column", Item.Place.Column},
+        {"level", Item.Level == Severity::Error ? "error" : "warning"},
+        {"message", Item.Message},
+        {"remedy", Item.Remedy}});
   }
   return List;
 }
--- a/Source/Tool/ToolFiles.h
+++ b/Source/Tool/ToolFiles.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whole files, and findings as the commands print them.
+/// Reading and writing of whole files, and findings as JSON.
 
 #ifndef BALSAMLATCH_TOOL_TOOLFILES_H
 #define BALSAMLATCH_TOOL_TOOLFILES_H
@@ -13,13 +13,14 @@
 
 namespace balsamlatch {
 
-/// NotFound if the file can't be read.
+/// The content of the file. NotFound if it can't be read.
 absl::StatusOr<std::string> readFile(const std::string &Path);
 
-/// Replaces the file's content.
+/// Replaces the file by way of a temporary file and a rename, so that a failed
+/// write leaves the old content.
 absl::Status writeFile(const std::string &Path, const std::string &Text);
 
-/// Findings as a JSON list.
+/// The findings as a JSON array.
 boost::json::array findingsJson(const Findings &All);
 
 } // namespace balsamlatch
--- a/Source/Tool/balsamlatch.cpp
+++ b/Source/Tool/balsamlatch.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' tool.
+/// Entry point of `balsamlatch`, the operators' command-line tool.
 
 #include "Command.h"
 #include "HttpStoreCaller.h"
@@ -8,14 +8,15 @@
 
 #include <iostream>
 
-int main(int Count, char **Words) {
-  const balsamlatch::SystemClock Time;
+int main(int ArgumentCount, char **ArgumentValues) {
+  const balsamlatch::SystemClock Clock;
   const balsamlatch::ToolIo Io{
-      std::cout, std::cerr, balsamlatch::openHttpStore, [&Time] {
+      std::cout, std::cerr, balsamlatch::openHttpStore, [&Clock] {
         return static_cast<std::uint64_t>(
             std::chrono::duration_cast<std::chrono::seconds>(
-                Time.wallNow().time_since_epoch())
+                Clock.wallNow().time_since_epoch())
                 .count());
       }};
-  return static_cast<int>(balsamlatch::runTool(Count, Words, Io));
+  return static_cast<int>(
+      balsamlatch::runTool(ArgumentCount, ArgumentValues, Io));
 }
