--- a/Tests/RunTool/RunCase.cmake
+++ b/Tests/RunTool/RunCase.cmake
@@ -1,11 +1,12 @@
-# Runs one case of expected output:
+# Runs the tool on one test case and compares its output:
 #
 #   cmake -DTOOL=<balsamlatch> -DCASE=<folder> -P RunCase.cmake
 #
-# The folder holds `arguments` (one word a line), and any of `exit` (0 without),
-# `stdout` and `stderr` (empty without), beside the input files that the
-# arguments name. The tool runs in a copy of the folder; files named in
-# `expected/` must be there afterwards with the same content.
+# The folder holds `arguments` (one argument per line), the input files that the
+# arguments name, and optionally the expected exit code in `exit` (default 0)
+# and the expected output in `stdout` and `stderr` (default empty). The tool runs
+# in a copy of the folder. Afterwards each file in `expected/` must exist in the
+# copy with the same content.
 
 get_filename_component(name "${CASE}" NAME)
 set(work "${WORK}/${name}")
--- a/Tests/RunTool/ToolTest.cpp
+++ b/Tests/RunTool/ToolTest.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Tests of the commands on the chain of rules, against a store in memory that
-/// fails on demand.
+/// Tests the commands on the chain of rules against a store in memory with
+/// injected faults.
 
 #define BOOST_TEST_MODULE Tool
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,8 @@
 
 namespace {
 
-/// Answers from memory. Faults are keyed by the number of the call.
+/// A store in memory. Faults maps the number of a call to the fault injected
+/// there: Down rejects the call, Unanswered applies it and loses the reply.
 class MemoryStore {
 public:
   enum class Fault { Down, Unanswered };
@@ -68,10 +69,11 @@
   MemoryStore &Store;
 };
 
-/// A folder with a rules file and keys, a store, and the tool.
-class Bench {
+/// Runs the tool on a store in memory that has a chain, with the owners' key
+/// files and rules files in a temporary folder.
+class ToolFixture {
 public:
-  Bench() {
+  ToolFixture() {
     std::filesystem::create_directories(Folder);
     const std::string Text =
         run({"keygen", "anna", "--out", path("anna.key")}) +
@@ -83,9 +85,9 @@
     run({"init", path("first.rules"), "--key", path("anna.key"), "--key",
          path("beat.key"), "--store", "s"});
   }
-  ~Bench() { std::filesystem::remove_all(Folder); }
-  Bench(const Bench &) = delete;
-  Bench &operator=(const Bench &) = delete;
+  ~ToolFixture() { std::filesystem::remove_all(Folder); }
+  ToolFixture(const ToolFixture &) = delete;
+  ToolFixture &operator=(const ToolFixture &) = delete;
 
   std::string path(const std::string &Name) const {
     return (Folder / Name).string();
@@ -94,13 +96,13 @@
     std::ofstream(path(Name)) << Text;
   }
 
-  /// Runs the tool; Code and Errors tell the rest.
-  std::string run(std::vector<std::string> Words) {
-    Words.insert(Words.begin(), "balsamlatch");
+  /// Runs the tool and returns its standard output. Sets Code and Errors.
+  std::string run(std::vector<std::string> Arguments) {
+    Arguments.insert(Arguments.begin(), "balsamlatch");
     std::vector<const char *> Pointers;
-    Pointers.reserve(Words.size());
-    for (const std::string &Word : Words) {
-      Pointers.push_back(Word.c_str());
+    Pointers.reserve(Arguments.size());
+    for (const std::string &Argument : Arguments) {
+      Pointers.push_back(Argument.c_str());
     }
     std::ostringstream Out;
     std::ostringstream Err;
@@ -117,22 +119,25 @@
 
   std::string show() { return run({"show", "--store", "s"}); }
 
-  /// Proposes the text in force with a line replaced; returns the name.
-  std::string propose(const std::string &Who, const std::string &From,
+  /// Proposes the text in force with \p From replaced by \p To; returns the
+  /// proposal's id, or an empty string if the tool refused it.
+  std::string propose(const std::string &Owner, const std::string &From,
                       const std::string &To) {
     std::string Text = show();
     Text.replace(Text.find(From), From.size(), To);
     write("next.rules", Text);
-    return idOf(run({"propose", path("next.rules"), "--key", path(Who + ".key"),
-                     "--store", "s"}));
+    return idOf(run({"propose", path("next.rules"), "--key",
+                     path(Owner + ".key"), "--store", "s"}));
   }
-  std::string sign(const std::string &Who, const std::string &Id) {
-    return run({"sign", Id, "--key", path(Who + ".key"), "--store", "s"});
+  std::string sign(const std::string &Owner, const std::string &Id) {
+    return run({"sign", Id, "--key", path(Owner + ".key"), "--store", "s"});
   }
   static std::string idOf(const std::string &Printed) {
-    const std::string Mark = "proposed as ";
-    const std::size_t At = Printed.find(Mark);
-    return At == std::string::npos ? "" : Printed.substr(At + Mark.size(), 12);
+    const std::string Prefix = "proposed as ";
+    const std::size_t Position = Printed.find(Prefix);
+    return Position == std::string::npos
+               ? ""
+               : Printed.substr(Position + Prefix.size(), 12);
   }
 
   MemoryStore Store;
@@ -145,103 +150,111 @@
       fmt::format("balsamlatch-tool-{}", ::getpid());
 };
 
-bool contains(const std::string &Text, const std::string &Part) {
-  return Text.find(Part) != std::string::npos;
+bool contains(const std::string &Text, const std::string &Substring) {
+  return Text.find(Substring) != std::string::npos;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(AChangeNeedsBothOwners) {
-  Bench B;
-  const std::string Id = B.propose("anna", "40 slots", "50 slots");
+  ToolFixture Fixture;
+  const std::string Id = Fixture.propose("anna", "40 slots", "50 slots");
   BOOST_TEST(Id.size() == 12U);
-  B.sign("anna", Id);
-  BOOST_TEST((B.Code == ExitCode::Refused));
-  BOOST_TEST(contains(B.Errors, "you have signed this; it waits for beat"));
-  BOOST_TEST(contains(B.show(), "40 slots"));
-  BOOST_TEST(contains(B.sign("beat", Id), "in force as version 2"));
-  BOOST_TEST(contains(B.show(), "50 slots"));
-  B.sign("beat", Id);
-  BOOST_TEST(contains(B.Errors, "was landed by beat"));
-  B.run({"keygen", "carl", "--out", B.path("carl.key")});
-  BOOST_TEST(B.propose("carl", "50 slots", "60 slots").empty());
-  const std::string Other = B.propose("beat", "50 slots", "60 slots");
-  B.sign("carl", Other);
-  BOOST_TEST(contains(B.Errors, "none of those that must sign"));
-  BOOST_TEST(contains(B.show(), "50 slots"));
+  Fixture.sign("anna", Id);
+  BOOST_TEST((Fixture.Code == ExitCode::Refused));
+  BOOST_TEST(
+      contains(Fixture.Errors, "you have signed this; it waits for beat"));
+  BOOST_TEST(contains(Fixture.show(), "40 slots"));
+  BOOST_TEST(contains(Fixture.sign("beat", Id), "in force as version 2"));
+  BOOST_TEST(contains(Fixture.show(), "50 slots"));
+  Fixture.sign("beat", Id);
+  BOOST_TEST(contains(Fixture.Errors, "was landed by beat"));
+  Fixture.run({"keygen", "carl", "--out", Fixture.path("carl.key")});
+  BOOST_TEST(Fixture.propose("carl", "50 slots", "60 slots").empty());
+  const std::string SecondId = Fixture.propose("beat", "50 slots", "60 slots");
+  Fixture.sign("carl", SecondId);
+  BOOST_TEST(contains(Fixture.Errors, "none of those that must sign"));
+  BOOST_TEST(contains(Fixture.show(), "50 slots"));
 }
 
 BOOST_AUTO_TEST_CASE(RacingOwnersLandDisjointEditsAndSeeConflicts) {
-  Bench B;
-  const std::string A = B.propose("anna", "40 slots", "50 slots");
-  const std::string C = B.propose("beat", "40 slots", "30 slots");
-  const std::string D = B.propose("beat", "rack 2 hosts", "rack 1 host");
-  BOOST_TEST(contains(B.sign("beat", A), "version 2"));
-  BOOST_TEST(contains(B.sign("anna", D), "version 3"));
-  B.sign("anna", C);
-  BOOST_TEST((B.Code == ExitCode::Refused));
-  BOOST_TEST(contains(B.Errors, "line 4 no longer stands: quota drivers 40"));
-  BOOST_TEST(contains(B.run({"diff", "--store", "s"}), "can't land"));
-  B.run({"withdraw", C, "--key", B.path("anna.key"), "--store", "s"});
-  BOOST_TEST(contains(B.Errors, "only the proposer withdraws"));
-  BOOST_TEST(contains(
-      B.run({"reject", C, "--key", B.path("anna.key"), "--store", "s"}),
-      "is rejected"));
-  BOOST_TEST(B.run({"diff", "--store", "s"}).empty());
+  ToolFixture Fixture;
+  const std::string FirstId = Fixture.propose("anna", "40 slots", "50 slots");
+  const std::string ConflictingId =
+      Fixture.propose("beat", "40 slots", "30 slots");
+  const std::string DisjointId =
+      Fixture.propose("beat", "rack 2 hosts", "rack 1 host");
+  BOOST_TEST(contains(Fixture.sign("beat", FirstId), "version 2"));
+  BOOST_TEST(contains(Fixture.sign("anna", DisjointId), "version 3"));
+  Fixture.sign("anna", ConflictingId);
+  BOOST_TEST((Fixture.Code == ExitCode::Refused));
+  BOOST_TEST(
+      contains(Fixture.Errors, "line 4 no longer stands: quota drivers 40"));
+  BOOST_TEST(contains(Fixture.run({"diff", "--store", "s"}), "can't land"));
+  Fixture.run({"withdraw", ConflictingId, "--key", Fixture.path("anna.key"),
+               "--store", "s"});
+  BOOST_TEST(contains(Fixture.Errors, "only the proposer withdraws"));
+  BOOST_TEST(contains(Fixture.run({"reject", ConflictingId, "--key",
+                                   Fixture.path("anna.key"), "--store", "s"}),
+                      "is rejected"));
+  BOOST_TEST(Fixture.run({"diff", "--store", "s"}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(AFileOfAnEarlierVersionKeepsLaterChanges) {
-  Bench B;
-  std::string Mine = B.show();
-  BOOST_TEST(B.Errors == "version 1\n");
-  B.sign("beat", B.propose("anna", "40 slots", "50 slots"));
-  Mine.replace(Mine.find("rack 2 hosts"), 12, "rack 1 host");
-  B.write("mine.rules", Mine);
-  const std::string Id =
-      Bench::idOf(B.run({"propose", B.path("mine.rules"), "--base", "1",
-                         "--key", B.path("beat.key"), "--store", "s"}));
-  BOOST_TEST(contains(B.sign("anna", Id), "version 3"));
-  BOOST_TEST(contains(B.show(), "50 slots"));
-  BOOST_TEST(contains(B.show(), "rack 1 host"));
+  ToolFixture Fixture;
+  std::string EditedText = Fixture.show();
+  BOOST_TEST(Fixture.Errors == "version 1\n");
+  Fixture.sign("beat", Fixture.propose("anna", "40 slots", "50 slots"));
+  EditedText.replace(EditedText.find("rack 2 hosts"), 12, "rack 1 host");
+  Fixture.write("mine.rules", EditedText);
+  const std::string Id = ToolFixture::idOf(
+      Fixture.run({"propose", Fixture.path("mine.rules"), "--base", "1",
+                   "--key", Fixture.path("beat.key"), "--store", "s"}));
+  BOOST_TEST(contains(Fixture.sign("anna", Id), "version 3"));
+  BOOST_TEST(contains(Fixture.show(), "50 slots"));
+  BOOST_TEST(contains(Fixture.show(), "rack 1 host"));
 }
 
 BOOST_AUTO_TEST_CASE(EarlierVersionsCanBeShownAndRolledBackTo) {
-  Bench B;
+  ToolFixture Fixture;
   for (unsigned Slots = 41; Slots <= 75; ++Slots) {
-    B.sign("beat", B.propose("anna", fmt::format("{} slots", Slots - 1),
-                             fmt::format("{} slots", Slots)));
-    BOOST_REQUIRE((B.Code == ExitCode::Done));
+    Fixture.sign("beat",
+                 Fixture.propose("anna", fmt::format("{} slots", Slots - 1),
+                                 fmt::format("{} slots", Slots)));
+    BOOST_REQUIRE((Fixture.Code == ExitCode::Done));
   }
   for (unsigned Version : {1U, 2U, 15U, 16U, 17U, 30U, 36U}) {
     const std::string Text =
-        B.run({"show", std::to_string(Version), "--store", "s"});
+        Fixture.run({"show", std::to_string(Version), "--store", "s"});
     BOOST_TEST(contains(Text, fmt::format("{} slots", Version + 39)));
   }
-  const std::string Log = B.run({"log", "--store", "s", "--count", "100"});
+  const std::string Log =
+      Fixture.run({"log", "--store", "s", "--count", "100"});
   BOOST_TEST(contains(Log, "version 2 by anna"));
   BOOST_TEST(contains(Log, "version 36 by anna"));
-  const std::string Id = Bench::idOf(
-      B.run({"rollback", "5", "--key", B.path("beat.key"), "--store", "s"}));
-  BOOST_TEST(contains(B.sign("anna", Id), "version 37"));
-  BOOST_TEST(B.show() == B.run({"show", "5", "--store", "s"}));
+  const std::string Id = ToolFixture::idOf(Fixture.run(
+      {"rollback", "5", "--key", Fixture.path("beat.key"), "--store", "s"}));
+  BOOST_TEST(contains(Fixture.sign("anna", Id), "version 37"));
+  BOOST_TEST(Fixture.show() == Fixture.run({"show", "5", "--store", "s"}));
 }
 
 BOOST_AUTO_TEST_CASE(LostAnswersAreSettledByReadingBack) {
-  // Every call of a signature fails once, in either way.
-  for (const MemoryStore::Fault Wrong :
+  // Injects each fault into each store call of `sign` in turn. If the command
+  // fails, running it again must land the change exactly once.
+  for (const MemoryStore::Fault Fault :
        {MemoryStore::Fault::Down, MemoryStore::Fault::Unanswered}) {
-    for (std::size_t At = 1; At <= 9; ++At) {
-      Bench B;
-      const std::string Id = B.propose("anna", "40 slots", "50 slots");
-      B.Store.Faults = {{B.Store.Calls + At, Wrong}};
-      B.sign("beat", Id);
-      if (B.Code != ExitCode::Done) {
-        BOOST_TEST((B.Code == ExitCode::Unavailable));
-        B.sign("beat", Id);
+    for (std::size_t FaultyCall = 1; FaultyCall <= 9; ++FaultyCall) {
+      ToolFixture Fixture;
+      const std::string Id = Fixture.propose("anna", "40 slots", "50 slots");
+      Fixture.Store.Faults = {{Fixture.Store.Calls + FaultyCall, Fault}};
+      Fixture.sign("beat", Id);
+      if (Fixture.Code != ExitCode::Done) {
+        BOOST_TEST((Fixture.Code == ExitCode::Unavailable));
+        Fixture.sign("beat", Id);
       }
-      BOOST_TEST(contains(B.show(), "50 slots"),
-                 "call " << At << ": " << B.Errors);
-      const std::string Log = B.run({"log", "--store", "s"});
+      BOOST_TEST(contains(Fixture.show(), "50 slots"),
+                 "call " << FaultyCall << ": " << Fixture.Errors);
+      const std::string Log = Fixture.run({"log", "--store", "s"});
       BOOST_TEST(contains(Log, "version 2 "));
       BOOST_TEST(!contains(Log, "version 3 "));
     }
@@ -249,39 +262,40 @@
 }
 
 BOOST_AUTO_TEST_CASE(AKeyChangesWithBothOldOwnersAndTheNewKey) {
-  Bench B;
-  const std::string New = B.run({"keygen", "beat", "--out", B.path("new.key")});
-  const std::string Text = B.show();
+  ToolFixture Fixture;
+  const std::string NewOwnerLine =
+      Fixture.run({"keygen", "beat", "--out", Fixture.path("new.key")});
+  const std::string Text = Fixture.show();
   const std::size_t Start = Text.find("owner beat");
-  const std::string Old =
+  const std::string OldOwnerLine =
       Text.substr(Start, Text.find('\n', Start) + 1 - Start);
-  const std::string Id = B.propose("anna", Old, New);
-  BOOST_TEST(contains(B.sign("beat", Id), "signed; waits for key "));
-  BOOST_TEST(contains(B.show(), Old));
-  BOOST_TEST(contains(B.sign("new", Id), "in force as version 2"));
-  B.sign("beat", B.propose("anna", "40 slots", "50 slots"));
-  BOOST_TEST(contains(B.Errors, "none of those that must sign"));
-  B.sign("new", B.propose("anna", "40 slots", "60 slots"));
-  BOOST_TEST(contains(B.show(), "60 slots"));
+  const std::string Id = Fixture.propose("anna", OldOwnerLine, NewOwnerLine);
+  BOOST_TEST(contains(Fixture.sign("beat", Id), "signed; waits for key "));
+  BOOST_TEST(contains(Fixture.show(), OldOwnerLine));
+  BOOST_TEST(contains(Fixture.sign("new", Id), "in force as version 2"));
+  Fixture.sign("beat", Fixture.propose("anna", "40 slots", "50 slots"));
+  BOOST_TEST(contains(Fixture.Errors, "none of those that must sign"));
+  Fixture.sign("new", Fixture.propose("anna", "40 slots", "60 slots"));
+  BOOST_TEST(contains(Fixture.show(), "60 slots"));
 }
 
 BOOST_AUTO_TEST_CASE(TheStoreCantChangeTheRules) {
-  Bench B;
-  StoreEntry &Base = B.Store.Keys["rules/base"];
+  ToolFixture Fixture;
+  StoreEntry &Base = Fixture.Store.Keys["rules/base"];
   Base.Value.replace(Base.Value.find("40 slots"), 8, "99 slots");
-  B.show();
-  BOOST_TEST((B.Code == ExitCode::Refused));
-  BOOST_TEST(contains(B.Errors, "can't be trusted"));
+  Fixture.show();
+  BOOST_TEST((Fixture.Code == ExitCode::Refused));
+  BOOST_TEST(contains(Fixture.Errors, "can't be trusted"));
 }
 
 BOOST_AUTO_TEST_CASE(AChainIsStartedOnceUnlessReplaced) {
-  Bench B;
-  const std::vector<std::string> Words = {
-      "init",  B.path("first.rules"), "--key",   B.path("anna.key"),
-      "--key", B.path("beat.key"),    "--store", "s"};
-  B.run(Words);
-  BOOST_TEST(contains(B.Errors, "the store has rules already"));
-  std::vector<std::string> Again = Words;
-  Again.emplace_back("--replace");
-  BOOST_TEST(contains(B.run(Again), "in force as version 2"));
+  ToolFixture Fixture;
+  const std::vector<std::string> Arguments = {
+      "init",  Fixture.path("first.rules"), "--key",   Fixture.path("anna.key"),
+      "--key", Fixture.path("beat.key"),    "--store", "s"};
+  Fixture.run(Arguments);
+  BOOST_TEST(contains(Fixture.Errors, "the store has rules already"));
+  std::vector<std::string> ReplaceArguments = Arguments;
+  ReplaceArguments.emplace_back("--replace");
+  BOOST_TEST(contains(Fixture.run(ReplaceArguments), "in force as version 2"));
 }
