--- a/Source/Tool/ChainStore.cpp
+++ b/Source/Tool/ChainStore.cpp
@@ -235,9 +235,9 @@
     }
     // Drops changes of the ring's previous round and another change that was
     // logged under this version.
-    std::erase_if(*Entries, [&](const RetiredChange &Existing) {
-      return !inSameLogBlock(Existing.Landed.Version, Version) ||
-             Existing.Landed.Version == Version;
+    std::erase_if(*Entries, [&](const RetiredChange &OldEntry) {
+      return !inSameLogBlock(OldEntry.Landed.Version, Version) ||
+             OldEntry.Landed.Version == Version;
     });
     Entries->push_back(Entry);
     const absl::StatusOr<bool> Swapped = compareAndSwap(
@@ -253,45 +253,46 @@
 }
 
 absl::StatusOr<Proposals> ChainStore::proposals() {
-  const absl::StatusOr<StoreEntry> Stored = read(ProposalsKey);
-  if (!Stored.ok()) {
-    return Stored.status();
+  const absl::StatusOr<StoreEntry> StoredList = read(ProposalsKey);
+  if (!StoredList.ok()) {
+    return StoredList.status();
   }
-  return Stored->present() ? parseProposals(Stored->Value) : Proposals();
+  return StoredList->present() ? parseProposals(StoredList->Value)
+                               : Proposals();
 }
 
 absl::StatusOr<Proposals> ChainStore::editProposals(
     const std::function<absl::Status(Proposals &)> &Edit) {
   for (int Attempt = 0; Attempt < MaxAttempts; ++Attempt) {
-    const absl::StatusOr<StoreEntry> Stored = read(ProposalsKey);
-    if (!Stored.ok()) {
-      return Stored.status();
+    const absl::StatusOr<StoreEntry> StoredList = read(ProposalsKey);
+    if (!StoredList.ok()) {
+      return StoredList.status();
     }
-    const absl::StatusOr<Proposals> Current =
-        Stored->present() ? parseProposals(Stored->Value) : Proposals();
-    if (!Current.ok()) {
-      return Current.status();
+    const absl::StatusOr<Proposals> CurrentList =
+        StoredList->present() ? parseProposals(StoredList->Value) : Proposals();
+    if (!CurrentList.ok()) {
+      return CurrentList.status();
     }
-    Proposals Edited = *Current;
-    const absl::Status EditStatus = Edit(Edited);
+    Proposals EditedList = *CurrentList;
+    const absl::Status EditStatus = Edit(EditedList);
     if (!EditStatus.ok()) {
       return EditStatus;
     }
-    if (Edited.Closed.size() > MaxClosedProposals) {
-      Edited.Closed.erase(Edited.Closed.begin(),
-                          Edited.Closed.end() -
-                              std::ptrdiff_t(MaxClosedProposals));
+    if (EditedList.Closed.size() > MaxClosedProposals) {
+      EditedList.Closed.erase(EditedList.Closed.begin(),
+                              EditedList.Closed.end() -
+                                  std::ptrdiff_t(MaxClosedProposals));
     }
-    if (Edited == *Current) {
-      return Edited;
+    if (EditedList == *CurrentList) {
+      return EditedList;
     }
-    const absl::StatusOr<bool> Swapped =
-        compareAndSwap(ProposalsKey, Stored->Version, printProposals(Edited));
+    const absl::StatusOr<bool> Swapped = compareAndSwap(
+        ProposalsKey, StoredList->Version, printProposals(EditedList));
     if (!Swapped.ok()) {
       return Swapped.status();
     }
     if (*Swapped) {
-      return Edited;
+      return EditedList;
     }
   }
   return retriesExhausted();
--- a/Source/Tool/ProposeCommands.cpp
+++ b/Source/Tool/ProposeCommands.cpp
@@ -84,7 +84,7 @@
 
 /// Adds the change to the open proposals, signed by its proposer.
 absl::StatusOr<SignedChange> propose(ChainStore &Chain, const ChainView &View,
-                                     const EditedText &Edited,
+                                     const EditedText &TextEdit,
                                      const PrivateKey &Key, ProposalNote Note) {
   const OwnerKeys &Owners = View.Latest.owners();
   if (std::find(Owners.begin(), Owners.end(), Key.publicKey()) ==
@@ -97,16 +97,16 @@
     return Nonce.status();
   }
   Note.Nonce = *std::move(Nonce);
-  absl::StatusOr<Change> Content = makeChange(View, Edited, std::move(Note));
+  absl::StatusOr<Change> Content = makeChange(View, TextEdit, std::move(Note));
   if (!Content.ok()) {
     return Content.status();
   }
   SignedChange Proposal{*std::move(Content), {}};
   Proposal.Approvals.push_back(approve(Proposal.Content, Key));
-  const absl::StatusOr<Proposals> Updated =
+  const absl::StatusOr<Proposals> UpdatedList =
       Chain.editProposals([&](Proposals &List) {
-        for (const SignedChange &Open : List.Open) {
-          if (Open.Content == Proposal.Content) {
+        for (const SignedChange &OpenProposal : List.Open) {
+          if (OpenProposal.Content == Proposal.Content) {
             return absl::OkStatus();
           }
         }
@@ -117,8 +117,8 @@
         List.Open.push_back(Proposal);
         return absl::OkStatus();
       });
-  return Updated.ok() ? absl::StatusOr<SignedChange>(std::move(Proposal))
-                      : Updated.status();
+  return UpdatedList.ok() ? absl::StatusOr<SignedChange>(std::move(Proposal))
+                          : UpdatedList.status();
 }
 
 ExitCode printProposalResult(const cxxopts::ParseResult &Options,
--- a/Source/Tool/SignCommands.cpp
+++ b/Source/Tool/SignCommands.cpp
@@ -58,8 +58,8 @@
   return Context.Chain
       ->editProposals([&](Proposals &List) {
         const std::size_t RemovedCount =
-            std::erase_if(List.Open, [&](const SignedChange &Listed) {
-              return Listed.Content == Context.Proposal.Content;
+            std::erase_if(List.Open, [&](const SignedChange &ListedProposal) {
+              return ListedProposal.Content == Context.Proposal.Content;
             });
         if (RemovedCount != 0) {
           List.Closed.push_back({Id, ClosedBy, Outcome});
@@ -74,26 +74,27 @@
 absl::Status addSignature(ProposalContext &Context) {
   const Change &Content = Context.Proposal.Content;
   const Approval NewApproval = approve(Content, Context.Key);
-  const absl::StatusOr<Proposals> Updated =
+  const absl::StatusOr<Proposals> UpdatedList =
       Context.Chain->editProposals([&](Proposals &List) {
-        for (SignedChange &Listed : List.Open) {
-          if (Listed.Content != Content) {
+        for (SignedChange &ListedProposal : List.Open) {
+          if (ListedProposal.Content != Content) {
             continue;
           }
-          std::erase_if(Listed.Approvals, [&](const Approval &Existing) {
-            return Existing.Key == NewApproval.Key;
-          });
-          Listed.Approvals.push_back(NewApproval);
+          std::erase_if(ListedProposal.Approvals,
+                        [&](const Approval &OldApproval) {
+                          return OldApproval.Key == NewApproval.Key;
+                        });
+          ListedProposal.Approvals.push_back(NewApproval);
           return absl::OkStatus();
         }
         return absl::NotFoundError("the proposal is no longer open");
       });
-  if (!Updated.ok()) {
-    return Updated.status();
+  if (!UpdatedList.ok()) {
+    return UpdatedList.status();
   }
-  for (const SignedChange &Listed : Updated->Open) {
-    if (Listed.Content == Content) {
-      Context.Proposal = Listed;
+  for (const SignedChange &ListedProposal : UpdatedList->Open) {
+    if (ListedProposal.Content == Content) {
+      Context.Proposal = ListedProposal;
     }
   }
   return absl::OkStatus();
--- a/Tests/RunTool/ToolTest.cpp
+++ b/Tests/RunTool/ToolTest.cpp
@@ -28,11 +28,11 @@
   enum class Fault { Down, Unanswered };
 
   StoreReply call(const StoreRequest &Request) {
-    const auto Wrong = Faults.find(++Calls);
-    if (Wrong == Faults.end()) {
+    const auto InjectedFault = Faults.find(++Calls);
+    if (InjectedFault == Faults.end()) {
       return apply(Request);
     }
-    if (Wrong->second == Fault::Down) {
+    if (InjectedFault->second == Fault::Down) {
       return {absl::UnavailableError("down"), {}};
     }
     apply(Request);
