--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -355,7 +355,8 @@
 
 void Daemon::Impl::handleHostListing(HostListing Listing) {
   ControlLoop.post([this, Listing] { PeerEndpoint.addListedEntries(Listing); });
-  Fleet.tryPush(fleet::FleetEvent(fleet::ListingSeen{std::move(Listing)}));
+  Fleet.tryPush(
+      fleet::FleetEvent(fleet::HostListingReceived{std::move(Listing)}));
 }
 
 absl::Status Daemon::Impl::start() {
--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -149,7 +149,8 @@
 }
 
 void FleetThread::updateInventory(const fleet::FleetEvent &Event) {
-  if (const auto *ListingEvent = std::get_if<fleet::ListingSeen>(&Event)) {
+  if (const auto *ListingEvent =
+          std::get_if<fleet::HostListingReceived>(&Event)) {
     if (ListingEvent->Listing.Generation >= Listing.Generation) {
       Listing = ListingEvent->Listing;
     }
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -73,7 +73,7 @@
   void on(const LedgerSeen &Event) { receiveLedger(Event.Version, Event.Text); }
   void on(const StoreReplied &Event);
   void on(const OrderReplied &Event) { HostOrders.recordReply(Event, Now); }
-  void on(const ListingSeen &Event) { Observations.record(Event); }
+  void on(const HostListingReceived &Event) { Observations.record(Event); }
   void on(const WorkerSeen &Event) { Observations.record(Event, Now); }
   void on(const EntriesSeen &Event);
   void on(const RulesSeen &Event) { Rules = Event.Rules; }
--- a/Source/Fleet/FleetObservations.cpp
+++ b/Source/Fleet/FleetObservations.cpp
@@ -41,7 +41,7 @@
   EntriesUpdatedAt = Now;
 }
 
-void FleetObservations::record(const ListingSeen &Event) {
+void FleetObservations::record(const HostListingReceived &Event) {
   if (!Listing || Event.Listing.Generation >= Listing->Generation) {
     Listing = Event.Listing;
   }
--- a/Source/Fleet/FleetObservations.h
+++ b/Source/Fleet/FleetObservations.h
@@ -48,7 +48,7 @@
 
   void record(const WorkerSeen &Event, Instant Now);
   void record(const EntriesSeen &Event, Instant Now);
-  void record(const ListingSeen &Event);
+  void record(const HostListingReceived &Event);
   /// Records when each host entered its current state, and drops hosts that
   /// aren't in the ledger.
   void trackStates(const Ledger &CurrentLedger, Instant Now);
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -46,7 +46,7 @@
   Ticket Of;
   absl::Status Status;
 };
-struct ListingSeen {
+struct HostListingReceived {
   HostListing Listing;
 };
 struct WorkerSeen {
@@ -96,9 +96,10 @@
 };
 struct FleetTick {};
 
-using FleetEvent = std::variant<LedgerSeen, StoreReplied, OrderReplied,
-                                ListingSeen, WorkerSeen, EntriesSeen, RulesSeen,
-                                DemandSeen, OperatorAsked, FleetTick>;
+using FleetEvent =
+    std::variant<LedgerSeen, StoreReplied, OrderReplied, HostListingReceived,
+                 WorkerSeen, EntriesSeen, RulesSeen, DemandSeen, OperatorAsked,
+                 FleetTick>;
 /// @}
 
 /// \name Actions
--- a/Tests/Fleet/WorldPlatform.cpp
+++ b/Tests/Fleet/WorldPlatform.cpp
@@ -238,7 +238,7 @@
   }
   for (unsigned I = 0; I < Nodes.size(); ++I) {
     schedule(random(1s, 5s),
-             [this, I, Listing] { deliver(I, ListingSeen{Listing}); });
+             [this, I, Listing] { deliver(I, HostListingReceived{Listing}); });
   }
   schedule(10s, [this] { tickListing(); });
 }
