--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -213,7 +213,7 @@
       },
       [this](DocumentPtr Document) { publishDocument(std::move(Document)); });
   OperatorEndpoint.connect(
-      [this](fleet::OperatorAsked Request) {
+      [this](fleet::OwnerOrderReceived Request) {
         return Fleet.tryPush(fleet::FleetEvent(std::move(Request)));
       },
       [this] { return ringStatuses(); });
--- a/Source/Daemon/OperatorServer.cpp
+++ b/Source/Daemon/OperatorServer.cpp
@@ -54,7 +54,7 @@
   return std::nullopt;
 }
 
-absl::StatusOr<fleet::OperatorAsked>
+absl::StatusOr<fleet::OwnerOrderReceived>
 toOperatorRequest(const wire::OwnerOrder &Order, OwnerName Owner) {
   const std::optional<fleet::OperatorVerb> Verb = parseVerb(Order.Verb);
   if (!Verb) {
@@ -69,7 +69,7 @@
   if (*Verb == fleet::OperatorVerb::Move && Order.Pool.empty()) {
     return absl::InvalidArgumentError("the member 'pool' is missing");
   }
-  fleet::OperatorAsked Request;
+  fleet::OwnerOrderReceived Request;
   Request.Verb = *Verb;
   Request.Host = Order.Host;
   Request.Pool = Order.Pool;
@@ -114,7 +114,7 @@
                                 }) {}
 
 void OperatorServer::connect(
-    std::function<bool(fleet::OperatorAsked)> OrderSubmitter,
+    std::function<bool(fleet::OwnerOrderReceived)> OrderSubmitter,
     std::function<RingStatuses()> RingStatusReader) {
   SubmitOrder = std::move(OrderSubmitter);
   ReadRingStatuses = std::move(RingStatusReader);
@@ -182,7 +182,7 @@
   return http::jsonResponse(200, boost::json::serialize(Page));
 }
 
-absl::StatusOr<fleet::OperatorAsked>
+absl::StatusOr<fleet::OwnerOrderReceived>
 OperatorServer::parseOrder(const http::Request &Message) {
   const RuleSetPtr Rules = Status.Rules.get();
   if (Rules == nullptr) {
@@ -208,7 +208,7 @@
     Call.Respond(statusResponse(405, "unknown-method", "use POST"));
     return;
   }
-  absl::StatusOr<fleet::OperatorAsked> Request = parseOrder(Call.Message);
+  absl::StatusOr<fleet::OwnerOrderReceived> Request = parseOrder(Call.Message);
   if (!Request.ok()) {
     Sink.write(LogLevel::Warning, "order-refused",
                {{"peer", Call.Message.Peer},
--- a/Source/Daemon/include/balsamlatch/Daemon/OperatorServer.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/OperatorServer.h
@@ -35,7 +35,7 @@
   /// \p SubmitOrder queues an owner's order for the controller and returns
   /// false if its queue is full. \p ReadRingStatuses reads the fill levels of
   /// the queues for the metrics page.
-  void connect(std::function<bool(fleet::OperatorAsked)> SubmitOrder,
+  void connect(std::function<bool(fleet::OwnerOrderReceived)> SubmitOrder,
                std::function<RingStatuses()> ReadRingStatuses);
 
   absl::Status start();
@@ -54,7 +54,8 @@
   void handleRequest(http::Exchange Call);
   http::Response handleGet(const http::Request &Message) const;
   http::Response planPage() const;
-  absl::StatusOr<fleet::OperatorAsked> parseOrder(const http::Request &Message);
+  absl::StatusOr<fleet::OwnerOrderReceived>
+  parseOrder(const http::Request &Message);
   void handleOrder(http::Exchange Call);
   void expireOrders();
 
@@ -65,7 +66,7 @@
   const DecisionHistory &History;
   const DaemonStatus &Status;
   LogSink &Sink;
-  std::function<bool(fleet::OperatorAsked)> SubmitOrder;
+  std::function<bool(fleet::OwnerOrderReceived)> SubmitOrder;
   std::function<RingStatuses()> ReadRingStatuses;
   http::Server Listener;
   // Orders without the controller's answer, by identifier.
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -87,7 +87,7 @@
                         ? Demand.requiredHosts(Observations.slotsPerHost())
                         : RequiredHostCounts();
   }
-  void on(const OperatorAsked &Event) {
+  void on(const OwnerOrderReceived &Event) {
     OperatorQueue.enqueue(Event, Now);
     planChanges();
   }
--- a/Source/Fleet/OperatorOrders.cpp
+++ b/Source/Fleet/OperatorOrders.cpp
@@ -60,7 +60,7 @@
 
 } // namespace
 
-void OperatorOrders::enqueue(const OperatorAsked &Request, Instant Now) {
+void OperatorOrders::enqueue(const OwnerOrderReceived &Request, Instant Now) {
   PendingOrders.push_back(
       {Request, fmt::format("{}-q{}", IdPrefix, ++RequestCount), Now});
 }
@@ -119,7 +119,7 @@
                                         Draft &NextLedger, const RuleSet *Rules,
                                         const RequiredHostCounts &RequiredHosts,
                                         WallTime Wall) const {
-  const OperatorAsked &Request = PendingOrder.Request;
+  const OwnerOrderReceived &Request = PendingOrder.Request;
   switch (Request.Verb) {
   case OperatorVerb::Drain:
     return beginHostOperation(PendingOrder,
@@ -143,7 +143,7 @@
     const Order &PendingOrder, OperationKind Kind, Draft &NextLedger,
     const RuleSet *Rules, const RequiredHostCounts &RequiredHosts,
     WallTime Wall) const {
-  const OperatorAsked &Request = PendingOrder.Request;
+  const OwnerOrderReceived &Request = PendingOrder.Request;
   const HostRecord *Record = NextLedger.find(Request.Host);
   if (Record != nullptr && Record->InHand.Id == PendingOrder.OperationId) {
     return absl::OkStatus();
--- a/Source/Fleet/OperatorOrders.h
+++ b/Source/Fleet/OperatorOrders.h
@@ -22,7 +22,7 @@
   explicit OperatorOrders(std::string OperationPrefix)
       : IdPrefix(std::move(OperationPrefix)) {}
 
-  void enqueue(const OperatorAsked &Request, Instant Now);
+  void enqueue(const OwnerOrderReceived &Request, Instant Now);
   bool empty() const { return PendingOrders.empty(); }
 
   /// Drafts every order that is possible, and answers the others.
@@ -40,7 +40,7 @@
 
 private:
   struct Order {
-    OperatorAsked Request;
+    OwnerOrderReceived Request;
     std::string OperationId;
     Instant EnqueuedAt{};
     bool InDraft = false;
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -84,7 +84,7 @@
 enum class OperatorVerb { Drain, Return, Move, Halt, Resume };
 
 /// An order that an owner gives on the command line.
-struct OperatorAsked {
+struct OwnerOrderReceived {
   std::uint64_t Question = 0;
   OperatorVerb Verb = OperatorVerb::Drain;
   HostName Host;
@@ -99,7 +99,7 @@
 using FleetEvent =
     std::variant<LedgerReceived, StoreReplied, OrderReplied,
                  HostListingReceived, WorkerReportReceived, EntriesSeen,
-                 RulesReceived, DemandReported, OperatorAsked, FleetTick>;
+                 RulesReceived, DemandReported, OwnerOrderReceived, FleetTick>;
 /// @}
 
 /// \name Actions
@@ -115,8 +115,8 @@
 struct AskWorker {
   HostName Host;
 };
-/// The result of an OperatorAsked event. FailedPrecondition says why the order
-/// can't be carried out now.
+/// The result of an OwnerOrderReceived event. FailedPrecondition says why the
+/// order can't be carried out now.
 struct AnswerOperator {
   std::uint64_t Question = 0;
   absl::Status Status;
--- a/Tests/Fleet/FaultTest.cpp
+++ b/Tests/Fleet/FaultTest.cpp
@@ -58,7 +58,7 @@
   constexpr std::array Verbs = {OperatorVerb::Drain, OperatorVerb::Return,
                                 OperatorVerb::Move, OperatorVerb::Halt,
                                 OperatorVerb::Resume};
-  OperatorAsked Order;
+  OwnerOrderReceived Order;
   Order.Question = ++RequestId;
   Order.Verb = Verbs[Run.randomBelow(Verbs.size())];
   Order.Host =
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -211,7 +211,7 @@
   Hosts.at(Name).ReportsBlockedUntil = Time + Length;
 }
 
-void World::submitOrder(unsigned Index, OperatorAsked Order) {
+void World::submitOrder(unsigned Index, OwnerOrderReceived Order) {
   deliver(Index, FleetEvent(std::move(Order)));
 }
 
--- a/Tests/Fleet/World.h
+++ b/Tests/Fleet/World.h
@@ -82,7 +82,7 @@
   /// @}
 
   /// Sends an owner's order to a controller. The result is added to answers().
-  void submitOrder(unsigned Controller, OperatorAsked Order);
+  void submitOrder(unsigned Controller, OwnerOrderReceived Order);
 
   const Ledger &ledger() const { return History.back().Value; }
   const std::vector<LedgerVersion> &history() const { return History; }
--- a/Tests/Fleet/WorldTest.cpp
+++ b/Tests/Fleet/WorldTest.cpp
@@ -42,7 +42,7 @@
   HostState state(const HostName &Host) const {
     return Simulation.ledger().Hosts.at(Host).State;
   }
-  absl::Status submitOrder(OperatorAsked Order, unsigned Controller = 0) {
+  absl::Status submitOrder(OwnerOrderReceived Order, unsigned Controller = 0) {
     Order.Question = ++LastRequestId;
     Order.By = OwnerName("anna");
     Simulation.submitOrder(Controller, Order);
@@ -101,7 +101,8 @@
 
 BOOST_AUTO_TEST_CASE(HeldHostStaysDrainedUntilReturned) {
   StartedSimulation Fixture;
-  OperatorAsked DrainOrder{0, OperatorVerb::Drain, TargetHost, {}, {}, true};
+  OwnerOrderReceived DrainOrder{0,   OperatorVerb::Drain, TargetHost, {}, {},
+                                true};
   BOOST_TEST(Fixture.submitOrder(DrainOrder).ok());
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::Drained, 30s));
   Fixture.Simulation.run(5min);
