--- a/Source/Daemon/OperatorServer.cpp
+++ b/Source/Daemon/OperatorServer.cpp
@@ -38,13 +38,13 @@
                                         {"status", Code}, {"message", Text}}));
 }
 
-std::optional<fleet::OperatorVerb> parseVerb(std::string_view Text) {
-  constexpr std::pair<std::string_view, fleet::OperatorVerb> Verbs[] = {
-      {"drain", fleet::OperatorVerb::Drain},
-      {"return", fleet::OperatorVerb::Return},
-      {"move", fleet::OperatorVerb::Move},
-      {"halt", fleet::OperatorVerb::Halt},
-      {"resume", fleet::OperatorVerb::Resume},
+std::optional<fleet::OwnerOrderKind> parseVerb(std::string_view Text) {
+  constexpr std::pair<std::string_view, fleet::OwnerOrderKind> Verbs[] = {
+      {"drain", fleet::OwnerOrderKind::Drain},
+      {"return", fleet::OwnerOrderKind::Return},
+      {"move", fleet::OwnerOrderKind::Move},
+      {"halt", fleet::OwnerOrderKind::Halt},
+      {"resume", fleet::OwnerOrderKind::Resume},
   };
   for (const auto &[Name, Verb] : Verbs) {
     if (Name == Text) {
@@ -56,17 +56,17 @@
 
 absl::StatusOr<fleet::OwnerOrderReceived>
 toOperatorRequest(const wire::OwnerOrder &Order, OwnerName Owner) {
-  const std::optional<fleet::OperatorVerb> Verb = parseVerb(Order.Verb);
+  const std::optional<fleet::OwnerOrderKind> Verb = parseVerb(Order.Verb);
   if (!Verb) {
     return absl::InvalidArgumentError(
         "the verb is none of drain, return, move, halt and resume");
   }
-  const bool NeedsHost = *Verb != fleet::OperatorVerb::Halt &&
-                         *Verb != fleet::OperatorVerb::Resume;
+  const bool NeedsHost = *Verb != fleet::OwnerOrderKind::Halt &&
+                         *Verb != fleet::OwnerOrderKind::Resume;
   if (NeedsHost && Order.Host.empty()) {
     return absl::InvalidArgumentError("the member 'host' is missing");
   }
-  if (*Verb == fleet::OperatorVerb::Move && Order.Pool.empty()) {
+  if (*Verb == fleet::OwnerOrderKind::Move && Order.Pool.empty()) {
     return absl::InvalidArgumentError("the member 'pool' is missing");
   }
   fleet::OwnerOrderReceived Request;
--- a/Source/Fleet/OperatorOrders.cpp
+++ b/Source/Fleet/OperatorOrders.cpp
@@ -121,19 +121,19 @@
                                         WallTime Wall) const {
   const OwnerOrderReceived &Request = PendingOrder.Request;
   switch (Request.Verb) {
-  case OperatorVerb::Drain:
+  case OwnerOrderKind::Drain:
     return beginHostOperation(PendingOrder,
                               Request.StayDrained ? OperationKind::Drain
                                                   : OperationKind::Maintain,
                               NextLedger, Rules, RequiredHosts, Wall);
-  case OperatorVerb::Move:
+  case OwnerOrderKind::Move:
     return beginHostOperation(PendingOrder, OperationKind::Move, NextLedger,
                               Rules, RequiredHosts, Wall);
-  case OperatorVerb::Return:
+  case OwnerOrderKind::Return:
     return cancel(NextLedger, Request.Host, Request.By);
-  case OperatorVerb::Halt:
+  case OwnerOrderKind::Halt:
     return halt(NextLedger, Request.By);
-  case OperatorVerb::Resume:
+  case OwnerOrderKind::Resume:
     return resume(NextLedger, Request.By);
   }
   return absl::InternalError("unknown order");
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -81,12 +81,12 @@
   std::vector<PoolDemand> Pools;
 };
 
-enum class OperatorVerb { Drain, Return, Move, Halt, Resume };
+enum class OwnerOrderKind { Drain, Return, Move, Halt, Resume };
 
 /// An order that an owner gives on the command line.
 struct OwnerOrderReceived {
   std::uint64_t Question = 0;
-  OperatorVerb Verb = OperatorVerb::Drain;
+  OwnerOrderKind Verb = OwnerOrderKind::Drain;
   HostName Host;
   PoolName Pool;
   OwnerName By;
--- a/Tests/Fleet/FaultTest.cpp
+++ b/Tests/Fleet/FaultTest.cpp
@@ -55,9 +55,9 @@
 
 void submitRandomOrder(FaultRun &Run) {
   static std::uint64_t RequestId = 0;
-  constexpr std::array Verbs = {OperatorVerb::Drain, OperatorVerb::Return,
-                                OperatorVerb::Move, OperatorVerb::Halt,
-                                OperatorVerb::Resume};
+  constexpr std::array Verbs = {OwnerOrderKind::Drain, OwnerOrderKind::Return,
+                                OwnerOrderKind::Move, OwnerOrderKind::Halt,
+                                OwnerOrderKind::Resume};
   OwnerOrderReceived Order;
   Order.Question = ++RequestId;
   Order.Verb = Verbs[Run.randomBelow(Verbs.size())];
@@ -206,9 +206,11 @@
         [&] {
           const Ledger &Value = Simulation.ledger();
           if (!Value.Wave.StopReason.empty() || !Value.HaltedBy.empty()) {
-            Simulation.submitOrder(
-                0,
-                {++RequestId, OperatorVerb::Resume, {}, {}, OwnerName("anna")});
+            Simulation.submitOrder(0, {++RequestId,
+                                       OwnerOrderKind::Resume,
+                                       {},
+                                       {},
+                                       OwnerName("anna")});
           }
           return settled(Simulation, MaintenanceStart);
         },
--- a/Tests/Fleet/WorldTest.cpp
+++ b/Tests/Fleet/WorldTest.cpp
@@ -66,7 +66,7 @@
 BOOST_AUTO_TEST_CASE(DrainedHostRebootsAndReturns) {
   StartedSimulation Fixture;
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Drain, TargetHost, {}, {}}).ok());
+      Fixture.submitOrder({0, OwnerOrderKind::Drain, TargetHost, {}, {}}).ok());
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::InMaintenance, 30s));
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::OnProbation, 120s));
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::InService, 60s));
@@ -85,14 +85,14 @@
   StartedSimulation Fixture(Options);
   Fixture.Simulation.blockLedgerUpdates(0, 60s);
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Drain, TargetHost, {}, {}}).ok());
+      Fixture.submitOrder({0, OwnerOrderKind::Drain, TargetHost, {}, {}}).ok());
   Fixture.Simulation.run(10s);
   // One entry doesn't act on the new ledger, which delays the reboot.
   BOOST_TEST((Fixture.state(TargetHost) == HostState::Leaving));
   BOOST_TEST(Fixture.Simulation.logged("waiting-entries"));
   // Any controller accepts the order.
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Return, TargetHost, {}, {}}, 1)
+      Fixture.submitOrder({0, OwnerOrderKind::Return, TargetHost, {}, {}}, 1)
           .ok());
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::InService, 15s));
   BOOST_TEST(Fixture.Simulation.counts().Reboots == 0u);
@@ -101,7 +101,7 @@
 
 BOOST_AUTO_TEST_CASE(HeldHostStaysDrainedUntilReturned) {
   StartedSimulation Fixture;
-  OwnerOrderReceived DrainOrder{0,   OperatorVerb::Drain, TargetHost, {}, {},
+  OwnerOrderReceived DrainOrder{0,   OwnerOrderKind::Drain, TargetHost, {}, {},
                                 true};
   BOOST_TEST(Fixture.submitOrder(DrainOrder).ok());
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::Drained, 30s));
@@ -112,7 +112,8 @@
   Fixture.Simulation.run(5min);
   BOOST_TEST((Fixture.state(TargetHost) == HostState::Failed));
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Return, TargetHost, {}, {}}).ok());
+      Fixture.submitOrder({0, OwnerOrderKind::Return, TargetHost, {}, {}})
+          .ok());
   BOOST_TEST(Fixture.reachesState(TargetHost, HostState::InService, 60s));
   checkInvariants(Fixture.Simulation);
 }
@@ -120,23 +121,23 @@
 BOOST_AUTO_TEST_CASE(RefusedOrderNamesItsBlocker) {
   StartedSimulation Fixture;
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Drain, TargetHost, {}, {}}).ok());
+      Fixture.submitOrder({0, OwnerOrderKind::Drain, TargetHost, {}, {}}).ok());
   // Both hosts are in one pool, where one in ten may be away.
   const absl::Status SecondDrain = Fixture.submitOrder(
-      {0, OperatorVerb::Drain, HostName("h0005"), {}, {}}, 1);
+      {0, OwnerOrderKind::Drain, HostName("h0005"), {}, {}}, 1);
   BOOST_TEST(absl::IsFailedPrecondition(SecondDrain));
   BOOST_TEST(SecondDrain.message().find("pool p0 has 1 of 10 hosts away") !=
              std::string::npos);
   BOOST_TEST(absl::IsNotFound(
-      Fixture.submitOrder({0, OperatorVerb::Drain, HostName("x"), {}, {}})));
+      Fixture.submitOrder({0, OwnerOrderKind::Drain, HostName("x"), {}, {}})));
   BOOST_TEST(absl::IsFailedPrecondition(Fixture.submitOrder(
-      {0, OperatorVerb::Return, HostName("h0001"), {}, {}})));
-  BOOST_TEST(Fixture.submitOrder({0, OperatorVerb::Halt, {}, {}, {}}).ok());
+      {0, OwnerOrderKind::Return, HostName("h0001"), {}, {}})));
+  BOOST_TEST(Fixture.submitOrder({0, OwnerOrderKind::Halt, {}, {}, {}}).ok());
   BOOST_TEST(absl::IsFailedPrecondition(Fixture.submitOrder(
-      {0, OperatorVerb::Drain, HostName("h0001"), {}, {}})));
-  BOOST_TEST(Fixture.submitOrder({0, OperatorVerb::Resume, {}, {}, {}}).ok());
+      {0, OwnerOrderKind::Drain, HostName("h0001"), {}, {}})));
+  BOOST_TEST(Fixture.submitOrder({0, OwnerOrderKind::Resume, {}, {}, {}}).ok());
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Drain, HostName("h0001"), {}, {}})
+      Fixture.submitOrder({0, OwnerOrderKind::Drain, HostName("h0001"), {}, {}})
           .ok());
   checkInvariants(Fixture.Simulation);
 }
@@ -150,7 +151,7 @@
   BOOST_REQUIRE(
       Simulation.runUntil([&] { return ledgerCreated(Simulation); }, 60s));
   Simulation.submitOrder(
-      0, {1, OperatorVerb::Move, TargetHost, PoolName("p2"), {}});
+      0, {1, OwnerOrderKind::Move, TargetHost, PoolName("p2"), {}});
   BOOST_TEST(Simulation.runUntil(
       [&] {
         const HostRecord &MovedRecord =
@@ -232,7 +233,7 @@
   StartedSimulation Fixture;
   Fixture.Simulation.blockLedgerUpdates(0, 30s);
   BOOST_TEST(
-      Fixture.submitOrder({0, OperatorVerb::Drain, TargetHost, {}, {}}).ok());
+      Fixture.submitOrder({0, OwnerOrderKind::Drain, TargetHost, {}, {}}).ok());
   Fixture.Simulation.run(10s);
   BOOST_TEST((Fixture.state(TargetHost) == HostState::Leaving));
   Fixture.Simulation.clearDrain(TargetHost);
