--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -266,7 +266,7 @@
                                          const Address &WorkerAddress) {
     requestWorkerReport(Host, WorkerAddress);
   };
-  Callbacks.ReplyToOperator = [this](fleet::AnswerOperator Answer) {
+  Callbacks.ReplyToOperator = [this](fleet::AnswerOwnerOrder Answer) {
     ControlLoop.post([this, Reply = std::move(Answer)] {
       OperatorEndpoint.handleAnswer(Reply);
     });
--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -174,7 +174,7 @@
         Callbacks.RequestWorkerReport(Host.Host, Host.At);
       }
     }
-  } else if (auto *Answer = std::get_if<fleet::AnswerOperator>(&Action)) {
+  } else if (auto *Answer = std::get_if<fleet::AnswerOwnerOrder>(&Action)) {
     Callbacks.ReplyToOperator(std::move(*Answer));
   } else if (auto *LogEntry = std::get_if<fleet::LogFleetDecision>(&Action)) {
     logDecision(std::move(*LogEntry));
--- a/Source/Daemon/OperatorServer.cpp
+++ b/Source/Daemon/OperatorServer.cpp
@@ -228,7 +228,7 @@
                             TimeSource.now() + OrderTimeout};
 }
 
-void OperatorServer::handleAnswer(const fleet::AnswerOperator &Answer) {
+void OperatorServer::handleAnswer(const fleet::AnswerOwnerOrder &Answer) {
   const auto It = PendingOrders.find(Answer.Question);
   if (It == PendingOrders.end()) {
     return;
--- a/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
@@ -35,7 +35,7 @@
   std::function<void()> PullBaseDocument;
   std::function<void(fleet::GiveOrder)> SendHostOrder;
   std::function<void(HostName, Address)> RequestWorkerReport;
-  std::function<void(fleet::AnswerOperator)> ReplyToOperator;
+  std::function<void(fleet::AnswerOwnerOrder)> ReplyToOperator;
   /// Blocks while the engine's queue is full.
   std::function<void(DecisionInput)> PushToEngine;
 };
--- a/Source/Daemon/include/balsamlatch/Daemon/OperatorServer.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/OperatorServer.h
@@ -43,7 +43,7 @@
   std::uint16_t port() const { return Listener.port(); }
 
   /// Sends the controller's answer to the owner. Control loop only.
-  void handleAnswer(const fleet::AnswerOperator &Answer);
+  void handleAnswer(const fleet::AnswerOwnerOrder &Answer);
 
 private:
   struct PendingOrder {
--- a/Source/Fleet/OperatorOrders.cpp
+++ b/Source/Fleet/OperatorOrders.cpp
@@ -74,7 +74,7 @@
         draftOrder(PendingOrder, NextLedger, Rules, RequiredHosts, Wall);
     if (!DraftStatus.ok() || !NextLedger.changed()) {
       Actions.emplace_back(
-          AnswerOperator{PendingOrder.Request.Question, DraftStatus});
+          AnswerOwnerOrder{PendingOrder.Request.Question, DraftStatus});
       return true;
     }
     PendingOrder.InDraft = true;
@@ -87,7 +87,7 @@
   std::erase_if(PendingOrders, [&](const Order &PendingOrder) {
     if (PendingOrder.InDraft) {
       Actions.emplace_back(
-          AnswerOperator{PendingOrder.Request.Question, absl::OkStatus()});
+          AnswerOwnerOrder{PendingOrder.Request.Question, absl::OkStatus()});
     }
     return PendingOrder.InDraft;
   });
@@ -110,7 +110,7 @@
                   "the store does not answer; the order may take effect")
             : absl::UnavailableError("the store does not answer; not done");
     Actions.emplace_back(
-        AnswerOperator{PendingOrder.Request.Question, FinalStatus});
+        AnswerOwnerOrder{PendingOrder.Request.Question, FinalStatus});
     return true;
   });
 }
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -117,7 +117,7 @@
 };
 /// The result of an OwnerOrderReceived event. FailedPrecondition says why the
 /// order can't be carried out now.
-struct AnswerOperator {
+struct AnswerOwnerOrder {
   std::uint64_t Question = 0;
   absl::Status Status;
 };
@@ -131,7 +131,7 @@
 };
 
 using FleetAction = std::variant<SubmitToStore, GiveOrder, AskWorker,
-                                 AnswerOperator, LogFleetDecision>;
+                                 AnswerOwnerOrder, LogFleetDecision>;
 /// @}
 
 struct ControllerOptions {
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -261,7 +261,7 @@
     } else if (const auto *Ask = std::get_if<AskWorker>(&Action)) {
       schedule(random(1ms, 50ms),
                [this, Index, Name = Ask->Host] { report(Index, Name); });
-    } else if (const auto *Answer = std::get_if<AnswerOperator>(&Action)) {
+    } else if (const auto *Answer = std::get_if<AnswerOwnerOrder>(&Action)) {
       Answers[Answer->Question] = Answer->Status;
     } else if (auto *Line = std::get_if<LogFleetDecision>(&Action)) {
       LogLines.push_back(std::move(*Line));
