--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -255,11 +255,11 @@
   };
   Callbacks.SendHostOrder = [this](fleet::GiveOrder Order) {
     StoreLoop.post([this, HostOrder = std::move(Order)] {
-      Platform.order(HostOrder.Order,
-                     [this, Origin = HostOrder.Of](absl::Status OrderStatus) {
-                       Fleet.tryPush(fleet::FleetEvent(fleet::OrderReplied{
-                           Origin, std::move(OrderStatus)}));
-                     });
+      Platform.order(HostOrder.Order, [this, Origin = HostOrder.Of](
+                                          absl::Status OrderStatus) {
+        Fleet.tryPush(fleet::FleetEvent(
+            fleet::HostOrderReplyReceived{Origin, std::move(OrderStatus)}));
+      });
     });
   };
   Callbacks.RequestWorkerReport = [this](const HostName &Host,
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -74,7 +74,9 @@
     receiveLedger(Event.Version, Event.Text);
   }
   void on(const StoreReplied &Event);
-  void on(const OrderReplied &Event) { HostOrders.recordReply(Event, Now); }
+  void on(const HostOrderReplyReceived &Event) {
+    HostOrders.recordReply(Event, Now);
+  }
   void on(const HostListingReceived &Event) { Observations.record(Event); }
   void on(const WorkerReportReceived &Event) {
     Observations.record(Event, Now);
--- a/Source/Fleet/OrderTracker.cpp
+++ b/Source/Fleet/OrderTracker.cpp
@@ -39,7 +39,8 @@
                                   : Position->second.LastStatus;
 }
 
-void OrderTracker::recordReply(const OrderReplied &Reply, Instant Now) {
+void OrderTracker::recordReply(const HostOrderReplyReceived &Reply,
+                               Instant Now) {
   const auto Position =
       std::find_if(Orders.begin(), Orders.end(), [&](const auto &Item) {
         return Item.second.InFlight == Reply.Of;
--- a/Source/Fleet/OrderTracker.h
+++ b/Source/Fleet/OrderTracker.h
@@ -35,7 +35,7 @@
   /// The platform's last answer to the order; OK if there is none.
   absl::Status lastStatus(const std::string &OperationId) const;
 
-  void recordReply(const OrderReplied &Reply, Instant Now);
+  void recordReply(const HostOrderReplyReceived &Reply, Instant Now);
 
   /// Drops the orders of all other hosts.
   void retainHosts(const std::set<HostName> &Hosts);
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -42,7 +42,7 @@
   Ticket Of;
   StoreReply Reply;
 };
-struct OrderReplied {
+struct HostOrderReplyReceived {
   Ticket Of;
   absl::Status Status;
 };
@@ -97,7 +97,7 @@
 struct FleetTick {};
 
 using FleetEvent =
-    std::variant<LedgerReceived, StoreReplied, OrderReplied,
+    std::variant<LedgerReceived, StoreReplied, HostOrderReplyReceived,
                  HostListingReceived, WorkerReportReceived, EntriesSeen,
                  RulesReceived, DemandReported, OwnerOrderReceived, FleetTick>;
 /// @}
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -255,7 +255,8 @@
           OrderStatus = absl::DeadlineExceededError("lost");
         }
         if (Nodes[Index].Generation == Generation) {
-          deliver(Index, OrderReplied{Order.Of, std::move(OrderStatus)});
+          deliver(Index,
+                  HostOrderReplyReceived{Order.Of, std::move(OrderStatus)});
         }
       });
     } else if (const auto *Ask = std::get_if<AskWorker>(&Action)) {
