--- a/Source/Placement/EngineSlots.cpp
+++ b/Source/Placement/EngineSlots.cpp
@@ -78,7 +78,7 @@
 }
 
 void Engine::Impl::handleEvent(const SlotMessageArrived &E) {
-  if (const auto *Message = std::get_if<SlotAsk>(&E.Message)) {
+  if (const auto *Message = std::get_if<SlotRequest>(&E.Message)) {
     const auto It = Schedulers.find(Message->Pool);
     if (It != Schedulers.end()) {
       deliverGrants(It->second.handleRequest(E.SenderEntry, *Message, Now));
@@ -144,7 +144,7 @@
 void Engine::Impl::requestSlots(SlotHolder &Holder, const PoolName &TargetPool,
                                 const SlotDemand &Demand) {
   const bool IsLocal = Holder.scheduler() == Options.Self;
-  const std::optional<SlotAsk> Message =
+  const std::optional<SlotRequest> Message =
       Holder.requestIfDue(Demand, Now, IsLocal, [&] {
         return Workers.avoidedHosts(TargetPool, Now);
       });
--- a/Source/Placement/SlotHolder.cpp
+++ b/Source/Placement/SlotHolder.cpp
@@ -96,7 +96,7 @@
   HoldingsShrank = true;
 }
 
-std::optional<SlotAsk> SlotHolder::requestIfDue(
+std::optional<SlotRequest> SlotHolder::requestIfDue(
     const SlotDemand &Demand, Instant Now, bool AllowDelta,
     const std::function<std::vector<HostName>()> &AvoidedWorkers) {
   dropExpiredGrants(Now);
@@ -116,7 +116,7 @@
       (!HasDemand && !HasSlots && !LastRequestTime)) {
     return std::nullopt;
   }
-  SlotAsk Message = buildRequest(Demand, Now, AllowDelta);
+  SlotRequest Message = buildRequest(Demand, Now, AllowDelta);
   Message.Avoid = AvoidedWorkers();
   return Message;
 }
@@ -130,15 +130,15 @@
          static_cast<std::uint32_t>(UnusedCount);
 }
 
-SlotAsk SlotHolder::buildRequest(const SlotDemand &Demand, Instant Now,
-                                 bool AllowDelta) {
+SlotRequest SlotHolder::buildRequest(const SlotDemand &Demand, Instant Now,
+                                     bool AllowDelta) {
   LastRequestWasDelta =
       AllowDelta && LastRequestTime && Now - *LastRequestTime < RefreshInterval;
   LastRequestTime = Now;
   LastDemand = Demand;
   HoldingsShrank = false;
   UnansweredSince = UnansweredSince.value_or(Now);
-  SlotAsk Message;
+  SlotRequest Message;
   Message.PatientInUse = PatientUsedSlots;
   for (const UnusedGrant &Grant : UnusedGrants) {
     Message.PatientInUse += Grant.Class == JobClass::Patient ? 1 : 0;
--- a/Source/Placement/SlotScheduler.cpp
+++ b/Source/Placement/SlotScheduler.cpp
@@ -153,7 +153,7 @@
 
 /// Updates the held and wanted slots of each class from the request and the
 /// pending grants.
-void SlotScheduler::updateDemand(Requester &R, const SlotAsk &Message) {
+void SlotScheduler::updateDemand(Requester &R, const SlotRequest &Message) {
   R.PatientHeld = std::min(Message.PatientInUse, R.HeldTotal);
   R.PromptHeld = R.HeldTotal - R.PatientHeld;
   R.PromptWanted = Message.Prompt;
@@ -168,7 +168,7 @@
 }
 
 SlotScheduler::Grants SlotScheduler::handleRequest(const EntryName &SenderEntry,
-                                                   const SlotAsk &Message,
+                                                   const SlotRequest &Message,
                                                    Instant Now, bool IsDelta) {
   const RequesterId Id(SenderEntry, Message.For.empty() ? Pool : Message.For);
   Requester &R = Requesters[Id];
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -156,7 +156,7 @@
 
 /// A request for slots of one pool, sent to the engine of the entry that
 /// schedules the pool.
-struct SlotAsk {
+struct SlotRequest {
   PoolName Pool;
   /// Slots wanted now beyond those held, by class. Patient requests that have
   /// aged count as prompt.
@@ -181,7 +181,7 @@
   /// Workers that the sender doesn't use now because they failed or refused.
   std::vector<HostName> Avoid;
 
-  auto operator<=>(const SlotAsk &) const = default;
+  auto operator<=>(const SlotRequest &) const = default;
 };
 /// Slots granted. Each request is answered by at least one grant; a grant
 /// without slots only reports the number of free ones.
@@ -209,7 +209,7 @@
 
   auto operator<=>(const SlotReturn &) const = default;
 };
-using SlotMessage = std::variant<SlotAsk, SlotGrant, SlotReturn>;
+using SlotMessage = std::variant<SlotRequest, SlotGrant, SlotReturn>;
 
 struct SlotMessageArrived {
   EntryName SenderEntry;
--- a/Source/Placement/include/balsamlatch/Placement/SlotHolder.h
+++ b/Source/Placement/include/balsamlatch/Placement/SlotHolder.h
@@ -58,7 +58,7 @@
   /// only then. With \p AllowDelta, for a scheduler in this entry, the request
   /// leaves out hosts whose slot count is unchanged since the last request,
   /// unless that was long ago.
-  std::optional<SlotAsk>
+  std::optional<SlotRequest>
   requestIfDue(const SlotDemand &Demand, Instant Now, bool AllowDelta,
                const std::function<std::vector<HostName>()> &AvoidedWorkers);
 
@@ -82,7 +82,8 @@
   };
 
   void dropExpiredGrants(Instant Now);
-  SlotAsk buildRequest(const SlotDemand &Demand, Instant Now, bool AllowDelta);
+  SlotRequest buildRequest(const SlotDemand &Demand, Instant Now,
+                           bool AllowDelta);
   std::uint32_t countHeld(const HostName &Host) const;
 
   PoolName Pool;
--- a/Source/Placement/include/balsamlatch/Placement/SlotScheduler.h
+++ b/Source/Placement/include/balsamlatch/Placement/SlotScheduler.h
@@ -66,7 +66,7 @@
   /// With \p IsDelta, InUse names only the hosts whose slot count changed. Only
   /// the entry that runs the scheduler may use it, since no message between the
   /// two is lost.
-  Grants handleRequest(const EntryName &SenderEntry, const SlotAsk &Message,
+  Grants handleRequest(const EntryName &SenderEntry, const SlotRequest &Message,
                        Instant Now, bool IsDelta = false);
   /// Expires grants that no request confirmed, and drops silent entries. Call
   /// every TickPeriod.
@@ -120,7 +120,7 @@
   void releaseRequester(const RequesterId &Id, const Requester &R);
   void setHeld(Requester &R, const HostName &Host, std::uint32_t Slots);
   void subtractTotals(const RequesterId &Id, const Requester &R);
-  static void updateDemand(Requester &R, const SlotAsk &Message);
+  static void updateDemand(Requester &R, const SlotRequest &Message);
   std::map<RequesterId, Requester>::iterator nextPromptRequester();
   std::map<RequesterId, Requester>::iterator nextPatientRequester();
   bool mayGrantPatient() const;
--- a/Source/Wire/PeerCodec.cpp
+++ b/Source/Wire/PeerCodec.cpp
@@ -83,7 +83,7 @@
   json::object operator()(const LedgerConfirm &C) const {
     return {{"kind", "ledger-confirm"}, {"version", C.Version}};
   }
-  json::object operator()(const SlotAsk &A) const {
+  json::object operator()(const SlotRequest &A) const {
     json::array InUse;
     for (const auto &[Host, Slots] : A.InUse) {
       InUse.push_back(json::array{Host.Text, Slots});
@@ -184,7 +184,7 @@
 }
 
 PeerMessage readSlotAsk(JsonReader &Object) {
-  SlotAsk Result;
+  SlotRequest Result;
   Result.Pool = PoolName(Object.text("pool"));
   Result.Prompt = Object.number<std::uint32_t>("prompt");
   Result.Patient = Object.number<std::uint32_t>("patient");
--- a/Tests/Placement/PartsTest.cpp
+++ b/Tests/Placement/PartsTest.cpp
@@ -35,8 +35,8 @@
           Instant(LatestStart), Instant(AgingTime), false};
 }
 
-SlotAsk makeSlotRequest(std::uint64_t Sequence, std::uint32_t Prompt) {
-  SlotAsk Message;
+SlotRequest makeSlotRequest(std::uint64_t Sequence, std::uint32_t Prompt) {
+  SlotRequest Message;
   Message.Pool = Pool;
   Message.For = Pool;
   Message.Prompt = Prompt;
@@ -223,7 +223,7 @@
   BOOST_TEST(slotsGrantedTo(SecondGrants, "b") == 1U);
   BOOST_TEST(Scheduler.freeSlots() == 0U);
   // The entry received its grants, uses none of them, and wants none.
-  SlotAsk IdleMessage = makeSlotRequest(2, 0);
+  SlotRequest IdleMessage = makeSlotRequest(2, 0);
   IdleMessage.LastGrant = FirstGrants.back().second.Number;
   const auto ThirdGrants =
       Scheduler.handleRequest(EntryName("a"), IdleMessage, Instant(1s));
@@ -238,7 +238,7 @@
 BOOST_AUTO_TEST_CASE(ANewSchedulerLearnsHeldSlotsFromRequests) {
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 2}});
-  SlotAsk Message = makeSlotRequest(1, 2);
+  SlotRequest Message = makeSlotRequest(1, 2);
   Message.InUse = {{host(1), 1}};
   BOOST_TEST(slotsGrantedTo(
                  Scheduler.handleRequest(EntryName("a"), Message, Instant(1s)),
@@ -253,12 +253,12 @@
   SchedulerLimits Limits;
   Limits.SpillingPoolCount = 3;
   Scheduler.setLimits(Limits);
-  SlotAsk BurstMessage = makeSlotRequest(1, 20);
+  SlotRequest BurstMessage = makeSlotRequest(1, 20);
   BurstMessage.For = PoolName("cut-plans");
   const auto BurstGrants =
       Scheduler.handleRequest(EntryName("a"), BurstMessage, Instant(1s));
   BOOST_TEST(slotsGrantedTo(BurstGrants, "a") == 18U);
-  SlotAsk OtherMessage = makeSlotRequest(1, 1);
+  SlotRequest OtherMessage = makeSlotRequest(1, 1);
   OtherMessage.For = PoolName("stock");
   BOOST_TEST(slotsGrantedTo(Scheduler.handleRequest(EntryName("b"),
                                                     OtherMessage, Instant(1s)),
@@ -268,7 +268,7 @@
 BOOST_AUTO_TEST_CASE(HostsThatTwoEntriesAvoidAreExcludedUpToAThirdOfThePool) {
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 2}, {host(2), 2}, {host(3), 2}});
-  SlotAsk FirstMessage = makeSlotRequest(1, 0);
+  SlotRequest FirstMessage = makeSlotRequest(1, 0);
   FirstMessage.Avoid = {host(1)};
   Scheduler.handleRequest(EntryName("a"), FirstMessage, Instant(1s));
   Scheduler.handleRequest(EntryName("b"), FirstMessage, Instant(1s));
@@ -278,7 +278,7 @@
                             "c") == 4U);
   // Two of three hosts are more than a third of the pool, so each entry avoids
   // only its own.
-  SlotAsk SecondMessage = makeSlotRequest(2, 0);
+  SlotRequest SecondMessage = makeSlotRequest(2, 0);
   SecondMessage.Avoid = {host(1), host(2)};
   Scheduler.handleRequest(EntryName("a"), SecondMessage, Instant(1s));
   const auto LaterGrants = Scheduler.handleRequest(
