--- a/Source/Daemon/MetricsPage.cpp
+++ b/Source/Daemon/MetricsPage.cpp
@@ -99,7 +99,7 @@
   MetricFamily &Queued =
       Builder.family(MetricType::Gauge, "balsamlatch_queued_requests",
                      "Requests that wait for a slot, by pool and class.");
-  for (const placement::PoolStanding &Pool : Engine.Pools) {
+  for (const placement::PoolStatus &Pool : Engine.Pools) {
     MetricsBuilder::addMetric(Queued,
                               {{"pool", Pool.Pool.Text}, {"class", "prompt"}},
                               Pool.QueuedPrompt);
@@ -110,21 +110,21 @@
   MetricFamily &InUse =
       Builder.family(MetricType::Gauge, "balsamlatch_slots_in_use",
                      "Slots that this entry uses, by pool.");
-  for (const placement::PoolStanding &Pool : Engine.Pools) {
+  for (const placement::PoolStatus &Pool : Engine.Pools) {
     MetricsBuilder::addMetric(InUse, {{"pool", Pool.Pool.Text}},
                               Pool.SlotsInUse);
   }
   MetricFamily &Total =
       Builder.family(MetricType::Gauge, "balsamlatch_slots",
                      "Slots of the accepting workers, by pool.");
-  for (const placement::PoolStanding &Pool : Engine.Pools) {
+  for (const placement::PoolStatus &Pool : Engine.Pools) {
     MetricsBuilder::addMetric(Total, {{"pool", Pool.Pool.Text}},
                               Pool.SlotsTotal);
   }
   MetricFamily &Ejected =
       Builder.family(MetricType::Gauge, "balsamlatch_ejected_workers",
                      "Workers that get no work because they failed, by pool.");
-  for (const placement::PoolStanding &Pool : Engine.Pools) {
+  for (const placement::PoolStatus &Pool : Engine.Pools) {
     MetricsBuilder::addMetric(Ejected, {{"pool", Pool.Pool.Text}},
                               Pool.Ejected);
   }
--- a/Source/Daemon/StatusPage.cpp
+++ b/Source/Daemon/StatusPage.cpp
@@ -49,7 +49,7 @@
                              const RuleSetPtr &Rules) {
   const std::map<PoolName, PoolCount> Counts = countHosts(Fleet);
   boost::json::array Array;
-  for (const placement::PoolStanding &Pool : Engine.Pools) {
+  for (const placement::PoolStatus &Pool : Engine.Pools) {
     const auto It = Counts.find(Pool.Pool);
     const PoolCount Count = It == Counts.end() ? PoolCount() : It->second;
     const PoolRule *Rule = Rules == nullptr ? nullptr : Rules->pool(Pool.Pool);
--- a/Source/Daemon/include/balsamlatch/Daemon/DaemonStatus.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/DaemonStatus.h
@@ -40,7 +40,7 @@
 
 /// Published by the decision thread.
 struct EngineStatus {
-  std::vector<placement::PoolStanding> Pools;
+  std::vector<placement::PoolStatus> Pools;
   placement::EngineCounters Counters;
   std::size_t OpenRequests = 0;
   std::size_t OpenAttempts = 0;
--- a/Source/Placement/Engine.cpp
+++ b/Source/Placement/Engine.cpp
@@ -177,8 +177,8 @@
   return Implementation->Counters;
 }
 
-std::vector<PoolStanding> Engine::standings() const {
-  std::vector<PoolStanding> Standings;
+std::vector<PoolStatus> Engine::standings() const {
+  std::vector<PoolStatus> Standings;
   for (const auto &[Name, Pool] : Implementation->Pools) {
     Standings.push_back({Name, Pool.Queue.promptCount(),
                          Pool.Queue.patientCount(),
--- a/Source/Placement/include/balsamlatch/Placement/Engine.h
+++ b/Source/Placement/include/balsamlatch/Placement/Engine.h
@@ -51,7 +51,7 @@
 };
 
 /// Current state of one pool, for status and metrics.
-struct PoolStanding {
+struct PoolStatus {
   PoolName Pool;
   std::uint32_t QueuedPrompt = 0;
   std::uint32_t QueuedPatient = 0;
@@ -59,7 +59,7 @@
   std::uint32_t SlotsTotal = 0;
   std::uint32_t Ejected = 0;
 
-  bool operator==(const PoolStanding &) const = default;
+  bool operator==(const PoolStatus &) const = default;
 };
 
 /// Not thread safe: one thread owns it. Deterministic: the same options and
@@ -76,7 +76,7 @@
   std::vector<Action> handle(const Event &NewEvent, Instant Now);
 
   const EngineCounters &counters() const;
-  std::vector<PoolStanding> standings() const;
+  std::vector<PoolStatus> standings() const;
 
   /// Numbers of requests that have not ended, and of attempts that may still
   /// run.
