--- a/Source/Daemon/DecisionThread.cpp
+++ b/Source/Daemon/DecisionThread.cpp
@@ -151,7 +151,7 @@
 }
 
 void DecisionThread::publishStatus() {
-  Status.Engine.set(EngineStatus{Engine.standings(), Engine.counters(),
+  Status.Engine.set(EngineStatus{Engine.poolStatuses(), Engine.counters(),
                                  Engine.openRequests(), Engine.openAttempts()});
 }
 
--- a/Source/Placement/Engine.cpp
+++ b/Source/Placement/Engine.cpp
@@ -177,7 +177,7 @@
   return Implementation->Counters;
 }
 
-std::vector<PoolStatus> Engine::standings() const {
+std::vector<PoolStatus> Engine::poolStatuses() const {
   std::vector<PoolStatus> Standings;
   for (const auto &[Name, Pool] : Implementation->Pools) {
     Standings.push_back({Name, Pool.Queue.promptCount(),
--- a/Source/Placement/include/balsamlatch/Placement/Engine.h
+++ b/Source/Placement/include/balsamlatch/Placement/Engine.h
@@ -76,7 +76,7 @@
   std::vector<Action> handle(const Event &NewEvent, Instant Now);
 
   const EngineCounters &counters() const;
-  std::vector<PoolStatus> standings() const;
+  std::vector<PoolStatus> poolStatuses() const;
 
   /// Numbers of requests that have not ended, and of attempts that may still
   /// run.
