--- a/Source/Daemon/ClaimService.cpp
+++ b/Source/Daemon/ClaimService.cpp
@@ -48,7 +48,7 @@
       ++Status.Counters.ClaimsWon;
       break;
     case placement::ClaimResult::Taken:
-    case placement::ClaimResult::OtherBody:
+    case placement::ClaimResult::BodyMismatch:
       ++Status.Counters.ClaimsTaken;
       break;
     case placement::ClaimResult::Unavailable:
--- a/Source/Placement/ClaimKeeper.cpp
+++ b/Source/Placement/ClaimKeeper.cpp
@@ -252,7 +252,7 @@
       WonClaims.emplace(Id, WonClaim{Claim.Digest, Claim.ShardIndex});
       settleClaim(Id, ClaimResult::Won);
     } else if (RecordIt->second.BodyDigest != Claim.Record.BodyDigest) {
-      settleClaim(Id, ClaimResult::OtherBody);
+      settleClaim(Id, ClaimResult::BodyMismatch);
     } else {
       settleClaim(Id, ClaimResult::Taken, RecordIt->second.FinalOutcome);
     }
--- a/Source/Placement/EngineRequests.cpp
+++ b/Source/Placement/EngineRequests.cpp
@@ -132,7 +132,7 @@
     finishRequest(Req->Key, Outcome::Unknown, Reason::ClaimTaken, {},
                   E.PriorOutcome);
     return;
-  case ClaimResult::OtherBody:
+  case ClaimResult::BodyMismatch:
     finishRequest(Req->Key, Outcome::NotRun, Reason::KeyReused);
     return;
   case ClaimResult::Unavailable:
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -141,7 +141,7 @@
   /// here.
   Taken,
   /// The key was used before with another body.
-  OtherBody,
+  BodyMismatch,
   /// The store can't be reached, so this request must not run.
   Unavailable
 };
--- a/Tests/Placement/ClaimKeeperTest.cpp
+++ b/Tests/Placement/ClaimKeeperTest.cpp
@@ -89,7 +89,7 @@
   BOOST_TEST((B.result("b1") == ClaimResult::Taken));
   B.claim("b2", "key", "another body");
   B.runUntilSettled();
-  BOOST_TEST((B.result("b2") == ClaimResult::OtherBody));
+  BOOST_TEST((B.result("b2") == ClaimResult::BodyMismatch));
 }
 
 BOOST_AUTO_TEST_CASE(AClaimWithALostReplyIsSettledByReadingTheShard) {
