--- a/Source/Daemon/CallerServer.cpp
+++ b/Source/Daemon/CallerServer.cpp
@@ -122,7 +122,7 @@
 
 void CallerServer::start(const placement::StartAttempt &Attempt) {
   const auto It = OpenRequests.find(Attempt.Id);
-  const bool IsTooLate = TimeSource.now() > Attempt.NotAfter;
+  const bool IsTooLate = TimeSource.now() > Attempt.SendDeadline;
   if (It == OpenRequests.end() || IsTooLate) {
     // The request has ended, or this process was suspended since the decision
     // and its slot grant or claim may have expired. Nothing was sent.
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -239,7 +239,7 @@
   Duration Lease{};
   /// The first byte must leave by this instant; otherwise the embedding program
   /// sends nothing and reports NotSent.
-  Instant NotAfter = Instant::max();
+  Instant SendDeadline = Instant::max();
 };
 /// Tell the worker to stop the task; CancelConfirmed or AttemptEnded follows.
 struct CancelAttempt {
--- a/Source/Replay/World.cpp
+++ b/Source/Replay/World.cpp
@@ -105,7 +105,7 @@
       deliver(To, Life, AttemptEnded{Attempt, End});
     });
   };
-  if (Time.now() > A.NotAfter) {
+  if (Time.now() > A.SendDeadline) {
     Reply(TaskEnd::NotSent);
     return;
   }
