--- a/Source/Placement/SlotHolder.cpp
+++ b/Source/Placement/SlotHolder.cpp
@@ -117,7 +117,7 @@
     return std::nullopt;
   }
   SlotRequest Message = buildRequest(Demand, Now, AllowDelta);
-  Message.Avoid = AvoidedWorkers();
+  Message.AvoidedHosts = AvoidedWorkers();
   return Message;
 }
 
--- a/Source/Placement/SlotScheduler.cpp
+++ b/Source/Placement/SlotScheduler.cpp
@@ -199,8 +199,8 @@
     setHeld(R, Host, Slots);
   }
   R.Sequence = Message.Sequence;
-  updateAvoiders(R, Message.Avoid);
-  R.AvoidList = Message.Avoid;
+  updateAvoiders(R, Message.AvoidedHosts);
+  R.AvoidList = Message.AvoidedHosts;
   R.LastRequestTime = Now;
   R.Deadline = Now + Message.EarliestDeadline;
   updateDemand(R, Message);
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -179,7 +179,7 @@
   /// Part of the slots of InUse that patient work holds.
   std::uint32_t PatientInUse = 0;
   /// Workers that the sender doesn't use now because they failed or refused.
-  std::vector<HostName> Avoid;
+  std::vector<HostName> AvoidedHosts;
 
   auto operator<=>(const SlotRequest &) const = default;
 };
--- a/Source/Wire/PeerCodec.cpp
+++ b/Source/Wire/PeerCodec.cpp
@@ -88,9 +88,9 @@
     for (const auto &[Host, Slots] : A.InUse) {
       InUse.push_back(json::array{Host.Text, Slots});
     }
-    json::array Avoid;
-    for (const HostName &Host : A.Avoid) {
-      Avoid.push_back(json::object{{"host", Host.Text}});
+    json::array AvoidedHosts;
+    for (const HostName &Host : A.AvoidedHosts) {
+      AvoidedHosts.push_back(json::object{{"host", Host.Text}});
     }
     return {{"kind", "slot-ask"},
             {"pool", A.Pool.Text},
@@ -98,7 +98,7 @@
             {"seq", A.Sequence},
             {"last_grant", A.LastGrant},
             {"patient_in_use", A.PatientInUse},
-            {"avoid", std::move(Avoid)},
+            {"avoid", std::move(AvoidedHosts)},
             {"prompt", A.Prompt},
             {"patient", A.Patient},
             {"deadline_us", A.EarliestDeadline.count()},
@@ -198,7 +198,7 @@
   Result.LastGrant = Object.number<std::uint64_t>("last_grant");
   Result.PatientInUse = Object.number<std::uint32_t>("patient_in_use");
   for (JsonReader &Item : Object.objects("avoid")) {
-    Result.Avoid.emplace_back(Item.text("host"));
+    Result.AvoidedHosts.emplace_back(Item.text("host"));
   }
   return SlotMessage(std::move(Result));
 }
--- a/Tests/Placement/PartsTest.cpp
+++ b/Tests/Placement/PartsTest.cpp
@@ -269,7 +269,7 @@
   SlotScheduler Scheduler(Pool);
   Scheduler.setWorkers({{host(1), 2}, {host(2), 2}, {host(3), 2}});
   SlotRequest FirstMessage = makeSlotRequest(1, 0);
-  FirstMessage.Avoid = {host(1)};
+  FirstMessage.AvoidedHosts = {host(1)};
   Scheduler.handleRequest(EntryName("a"), FirstMessage, Instant(1s));
   Scheduler.handleRequest(EntryName("b"), FirstMessage, Instant(1s));
   BOOST_TEST(slotsGrantedTo(Scheduler.handleRequest(EntryName("c"),
@@ -279,7 +279,7 @@
   // Two of three hosts are more than a third of the pool, so each entry avoids
   // only its own.
   SlotRequest SecondMessage = makeSlotRequest(2, 0);
-  SecondMessage.Avoid = {host(1), host(2)};
+  SecondMessage.AvoidedHosts = {host(1), host(2)};
   Scheduler.handleRequest(EntryName("a"), SecondMessage, Instant(1s));
   const auto LaterGrants = Scheduler.handleRequest(
       EntryName("d"), makeSlotRequest(1, 9), Instant(1s));
