--- a/Source/Placement/SlotHolder.cpp
+++ b/Source/Placement/SlotHolder.cpp
@@ -139,9 +139,9 @@
   HoldingsShrank = false;
   UnansweredSince = UnansweredSince.value_or(Now);
   SlotRequest Message;
-  Message.PatientInUse = PatientUsedSlots;
+  Message.PatientHeldSlots = PatientUsedSlots;
   for (const UnusedGrant &Grant : UnusedGrants) {
-    Message.PatientInUse += Grant.Class == JobClass::Patient ? 1 : 0;
+    Message.PatientHeldSlots += Grant.Class == JobClass::Patient ? 1 : 0;
   }
   Message.Pool = Pool;
   Message.For = QueuePool;
--- a/Source/Placement/SlotScheduler.cpp
+++ b/Source/Placement/SlotScheduler.cpp
@@ -154,7 +154,7 @@
 /// Updates the held and wanted slots of each class from the request and the
 /// pending grants.
 void SlotScheduler::updateDemand(Requester &R, const SlotRequest &Message) {
-  R.PatientHeld = std::min(Message.PatientInUse, R.HeldTotal);
+  R.PatientHeld = std::min(Message.PatientHeldSlots, R.HeldTotal);
   R.PromptHeld = R.HeldTotal - R.PatientHeld;
   R.PromptWanted = Message.Prompt;
   R.PatientWanted = Message.Patient;
--- a/Source/Placement/include/balsamlatch/Placement/Events.h
+++ b/Source/Placement/include/balsamlatch/Placement/Events.h
@@ -177,7 +177,7 @@
   /// later ones yet.
   std::uint64_t LastGrant = 0;
   /// Part of the slots of InUse that patient work holds.
-  std::uint32_t PatientInUse = 0;
+  std::uint32_t PatientHeldSlots = 0;
   /// Workers that the sender doesn't use now because they failed or refused.
   std::vector<HostName> AvoidedHosts;
 
--- a/Source/Wire/PeerCodec.cpp
+++ b/Source/Wire/PeerCodec.cpp
@@ -97,7 +97,7 @@
             {"for", A.For.Text},
             {"seq", A.Sequence},
             {"last_grant", A.LastGrant},
-            {"patient_in_use", A.PatientInUse},
+            {"patient_in_use", A.PatientHeldSlots},
             {"avoid", std::move(AvoidedHosts)},
             {"prompt", A.Prompt},
             {"patient", A.Patient},
@@ -196,7 +196,7 @@
   Result.For = PoolName(Object.text("for"));
   Result.Sequence = Object.number<std::uint64_t>("seq");
   Result.LastGrant = Object.number<std::uint64_t>("last_grant");
-  Result.PatientInUse = Object.number<std::uint32_t>("patient_in_use");
+  Result.PatientHeldSlots = Object.number<std::uint32_t>("patient_in_use");
   for (JsonReader &Item : Object.objects("avoid")) {
     Result.AvoidedHosts.emplace_back(Item.text("host"));
   }
