--- a/Source/Daemon/ClaimService.cpp
+++ b/Source/Daemon/ClaimService.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Passes requests, store replies and timeouts to the claim keeper.
+/// Passes requests, store replies and timeouts to the claim manager.
 
 #include "balsamlatch/Daemon/ClaimService.h"
 
--- a/Source/Daemon/include/balsamlatch/Daemon/ClaimService.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/ClaimService.h
@@ -1,5 +1,5 @@
 /// \file
-/// Claims on idempotency keys: makes the store calls of the claim keeper and
+/// Claims on idempotency keys: makes the store calls of the claim manager and
 /// enforces their timeouts. Runs on the store loop.
 
 #ifndef BALSAMLATCH_DAEMON_CLAIMSERVICE_H
@@ -8,7 +8,7 @@
 #include "balsamlatch/Base/Clock.h"
 #include "balsamlatch/Base/EventLoop.h"
 #include "balsamlatch/Daemon/DaemonStatus.h"
-#include "balsamlatch/Placement/ClaimKeeper.h"
+#include "balsamlatch/Placement/ClaimManager.h"
 #include "balsamlatch/Platform/Store.h"
 
 #include <cstdint>
@@ -25,7 +25,7 @@
   placement::Outcome Result = placement::Outcome::Unknown;
 };
 
-/// Runs the claim keeper against the store.
+/// Runs the claim manager against the store.
 class ClaimService {
 public:
   using Input = std::variant<placement::ClaimKey, ClaimEnd>;
@@ -56,7 +56,7 @@
   const Clock &TimeSource;
   DaemonStatus &Status;
   std::function<void(placement::ClaimSettled)> OnSettled;
-  placement::ClaimKeeper Keeper;
+  placement::ClaimManager Keeper;
   // Store calls without a reply, by ticket, with their deadline.
   std::map<std::uint64_t, Instant> PendingCalls;
   Mailbox<Input> Inbox;
--- a/Source/Placement/ClaimKeeper.cpp
+++ b/Source/Placement/ClaimManager.cpp
@@ -2,7 +2,7 @@
 /// The claims of one shard are written together in one compare-and-swap. After
 /// a lost reply, reading the shard back shows which request holds each claim.
 
-#include "balsamlatch/Placement/ClaimKeeper.h"
+#include "balsamlatch/Placement/ClaimManager.h"
 
 #include <algorithm>
 #include <charconv>
@@ -33,16 +33,16 @@
 
 } // namespace
 
-ClaimKeeper::ClaimKeeper(ClaimOptions InitialOptions)
+ClaimManager::ClaimManager(ClaimOptions InitialOptions)
     : Options(std::move(InitialOptions)), Shards(Options.ShardCount),
       CallTokens(CallBurst) {}
 
-std::string ClaimKeeper::shardKey(std::uint32_t Index) const {
+std::string ClaimManager::shardKey(std::uint32_t Index) const {
   return fmt::format("{}{}", Options.KeyPrefix, Index);
 }
 
-std::vector<ClaimAction> ClaimKeeper::claim(const ClaimKey &KeyClaim,
-                                            ClaimTime Time) {
+std::vector<ClaimAction> ClaimManager::claim(const ClaimKey &KeyClaim,
+                                             ClaimTime Time) {
   CurrentTime = Time;
   PendingClaim Claim;
   Claim.Digest = claimDigest(KeyClaim.Key);
@@ -61,7 +61,7 @@
 }
 
 std::vector<ClaimAction>
-ClaimKeeper::ended(const RequestId &Id, Outcome FinalOutcome, ClaimTime Time) {
+ClaimManager::ended(const RequestId &Id, Outcome FinalOutcome, ClaimTime Time) {
   CurrentTime = Time;
   const auto It = WonClaims.find(Id);
   if (It == WonClaims.end()) {
@@ -74,7 +74,7 @@
   return {};
 }
 
-std::vector<ClaimAction> ClaimKeeper::tick(ClaimTime Time) {
+std::vector<ClaimAction> ClaimManager::tick(ClaimTime Time) {
   CurrentTime = Time;
   expireClaims();
   startDueCalls();
@@ -83,7 +83,7 @@
 
 /// Settles claims whose deadline passed as Unavailable. The claim may have been
 /// written by a call without a reply, so its removal is queued.
-void ClaimKeeper::expireClaims() {
+void ClaimManager::expireClaims() {
   while (!ClaimDeadlines.empty() &&
          ClaimDeadlines.begin()->first <= CurrentTime.Now) {
     const RequestId Id = ClaimDeadlines.begin()->second;
@@ -100,7 +100,7 @@
   }
 }
 
-bool ClaimKeeper::takeCallToken() {
+bool ClaimManager::takeCallToken() {
   const double ElapsedSeconds =
       std::chrono::duration<double>(CurrentTime.Now - LastRefill).count();
   CallTokens =
@@ -115,14 +115,14 @@
 
 /// Starts with a different shard each time, so that no shard is starved when
 /// the call rate is exhausted.
-void ClaimKeeper::startDueCalls() {
+void ClaimManager::startDueCalls() {
   for (std::uint32_t I = 0; I < Options.ShardCount; ++I) {
     startCallIfDue((NextShard + I) % Options.ShardCount);
   }
   NextShard = NextShard + 1 < Options.ShardCount ? NextShard + 1 : 0;
 }
 
-void ClaimKeeper::startCallIfDue(std::uint32_t Index) {
+void ClaimManager::startCallIfDue(std::uint32_t Index) {
   ShardState &State = Shards[Index];
   const bool AreOutcomesDue =
       !State.PendingOutcomes.empty() && State.OutcomesDue <= CurrentTime.Now;
@@ -138,7 +138,7 @@
   writeShard(Index);
 }
 
-void ClaimKeeper::sendCall(std::uint32_t Index, StoreRequest Request) {
+void ClaimManager::sendCall(std::uint32_t Index, StoreRequest Request) {
   const std::uint64_t Ticket = ++LastTicket;
   ShardByTicket.emplace(Ticket, Index);
   Shards[Index].InFlightTicket = Ticket;
@@ -146,7 +146,7 @@
       ClaimStoreCall{Ticket, std::move(Request), Options.CallTimeout});
 }
 
-void ClaimKeeper::applyOutcomes(ShardState &State) {
+void ClaimManager::applyOutcomes(ShardState &State) {
   for (const auto &[Id, FinalOutcome] : State.PendingOutcomes) {
     const auto RecordIt = State.Content.Claims.find(WonClaims.at(Id).Digest);
     if (RecordIt == State.Content.Claims.end() ||
@@ -161,7 +161,7 @@
   }
 }
 
-void ClaimKeeper::writeShard(std::uint32_t Index) {
+void ClaimManager::writeShard(std::uint32_t Index) {
   ShardState &State = Shards[Index];
   State.Content.removeExpired(CurrentTime.Wall);
   applyOutcomes(State);
@@ -186,9 +186,9 @@
   sendCall(Index, StoreSwap{shardKey(Index), State.Version, std::move(Text)});
 }
 
-std::vector<ClaimAction> ClaimKeeper::replied(std::uint64_t Ticket,
-                                              const StoreReply &Reply,
-                                              ClaimTime Time) {
+std::vector<ClaimAction> ClaimManager::replied(std::uint64_t Ticket,
+                                               const StoreReply &Reply,
+                                               ClaimTime Time) {
   CurrentTime = Time;
   expireClaims();
   const auto It = ShardByTicket.find(Ticket);
@@ -212,7 +212,7 @@
   return std::exchange(Actions, {});
 }
 
-bool ClaimKeeper::updateContent(ShardState &State, const StoreReply &Reply) {
+bool ClaimManager::updateContent(ShardState &State, const StoreReply &Reply) {
   const std::string WrittenText = std::exchange(State.InFlightText, {});
   if (absl::IsUnavailable(Reply.Status) && !WrittenText.empty()) {
     // Unavailable proves that this write had no effect; an earlier one may
@@ -240,7 +240,7 @@
 
 /// Settles each claim whose key the store's content contains, and removes the
 /// outcomes that are recorded there.
-void ClaimKeeper::settleClaims(ShardState &State) {
+void ClaimManager::settleClaims(ShardState &State) {
   const std::set<RequestId> ClaimIds = State.ClaimIds;
   for (const RequestId &Id : ClaimIds) {
     const PendingClaim &Claim = PendingClaims.at(Id);
@@ -273,8 +273,8 @@
       State.PendingOutcomes.empty() ? Instant::max() : State.OutcomesDue;
 }
 
-void ClaimKeeper::settleClaim(const RequestId &Id, ClaimResult Result,
-                              std::optional<Outcome> PriorOutcome) {
+void ClaimManager::settleClaim(const RequestId &Id, ClaimResult Result,
+                               std::optional<Outcome> PriorOutcome) {
   const auto It = PendingClaims.find(Id);
   const Instant Deadline = It->second.Deadline;
   ClaimDeadlines.erase({Deadline, Id});
--- a/Source/Placement/include/balsamlatch/Placement/ClaimKeeper.h
+++ b/Source/Placement/include/balsamlatch/Placement/ClaimManager.h
@@ -3,8 +3,8 @@
 /// runs at most once, whichever entry its caller repeats it through. A state
 /// machine without I/O: it emits store calls and receives their replies.
 
-#ifndef BALSAMLATCH_PLACEMENT_CLAIMKEEPER_H
-#define BALSAMLATCH_PLACEMENT_CLAIMKEEPER_H
+#ifndef BALSAMLATCH_PLACEMENT_CLAIMMANAGER_H
+#define BALSAMLATCH_PLACEMENT_CLAIMMANAGER_H
 
 #include "balsamlatch/Placement/ClaimShard.h"
 #include "balsamlatch/Placement/Events.h"
@@ -62,9 +62,9 @@
 /// deadline by the longest run, which is at most as long as the time to the
 /// deadline, plus the repeat window and the clock skew. So no entry can win the
 /// key again while the first request may still start or run.
-class ClaimKeeper {
+class ClaimManager {
 public:
-  explicit ClaimKeeper(ClaimOptions Options);
+  explicit ClaimManager(ClaimOptions Options);
 
   std::vector<ClaimAction> claim(const ClaimKey &KeyClaim, ClaimTime Time);
 
@@ -147,4 +147,4 @@
 
 } // namespace balsamlatch::placement
 
-#endif // BALSAMLATCH_PLACEMENT_CLAIMKEEPER_H
+#endif // BALSAMLATCH_PLACEMENT_CLAIMMANAGER_H
--- a/Source/Replay/World.cpp
+++ b/Source/Replay/World.cpp
@@ -216,7 +216,7 @@
   Settings.Choice = Options.Choice;
   Settings.Seed = Options.Seed * 1000 + E.Incarnation;
   E.Core = std::make_unique<Engine>(Settings);
-  E.Claims = std::make_unique<ClaimKeeper>(ClaimOptions());
+  E.Claims = std::make_unique<ClaimManager>(ClaimOptions());
   E.Alive = true;
   deliver(Name, E.Incarnation, RulesChanged{Rules});
   deliver(Name, E.Incarnation, WorkersChanged{views()});
--- a/Source/Replay/World.h
+++ b/Source/Replay/World.h
@@ -8,7 +8,7 @@
 #include "FakeWorker.h"
 #include "Timeline.h"
 
-#include "balsamlatch/Placement/ClaimKeeper.h"
+#include "balsamlatch/Placement/ClaimManager.h"
 #include "balsamlatch/Placement/Engine.h"
 #include "balsamlatch/Replay/Replay.h"
 
@@ -37,7 +37,7 @@
   EntryName Name;
   std::uint64_t Incarnation = 0;
   std::unique_ptr<placement::Engine> Core;
-  std::unique_ptr<placement::ClaimKeeper> Claims;
+  std::unique_ptr<placement::ClaimManager> Claims;
   bool Alive = false;
   bool Stopping = false;
   bool Cut = false;
--- a/Tests/Placement/ClaimKeeperTest.cpp
+++ b/Tests/Placement/ClaimManagerTest.cpp
@@ -2,7 +2,7 @@
 /// Claims on idempotency keys while the store loses replies, is down, or is
 /// written by other entries.
 
-#include "balsamlatch/Placement/ClaimKeeper.h"
+#include "balsamlatch/Placement/ClaimManager.h"
 
 #include "FakeStore.h"
 
@@ -16,7 +16,8 @@
 
 namespace {
 
-/// One entry: its claim keeper, the pending store calls and the settled claims.
+/// One entry: its claim manager, the pending store calls and the settled
+/// claims.
 struct Entry {
   explicit Entry(FakeStore &Store) : Keeper({}), Backend(Store) {}
 
@@ -64,7 +65,7 @@
     return Results.at(Id).Result;
   }
 
-  ClaimKeeper Keeper;
+  ClaimManager Keeper;
   FakeStore &Backend;
   ClaimTime Time;
   std::vector<ClaimStoreCall> Calls;
