--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -321,7 +321,7 @@
 void Daemon::Impl::handleReceivedDocument(membership::Document Document) {
   if (Document.Key == HeadKey) {
     Fleet.tryPush(AdoptionEvent(
-        HeadSeen{"exchange", Document.Version, std::move(Document.Text)}));
+        HeadReceived{"exchange", Document.Version, std::move(Document.Text)}));
   } else {
     Fleet.tryPush(fleet::FleetEvent(
         fleet::LedgerReceived{Document.Version, std::move(Document.Text)}));
--- a/Source/Rules/Adoption.cpp
+++ b/Source/Rules/Adoption.cpp
@@ -60,7 +60,7 @@
                                       std::string(Error.message())});
 }
 
-void Adoption::process(const HeadSeen &Event, Instant Now,
+void Adoption::process(const HeadReceived &Event, Instant Now,
                        Actions &NewActions) {
   absl::StatusOr<HeadDocument> Head = parseHead(Event.Text);
   if (!Head.ok()) {
@@ -87,7 +87,8 @@
   }
 }
 
-void Adoption::reportStaleHead(const HeadSeen &Event, const HeadDocument &Head,
+void Adoption::reportStaleHead(const HeadReceived &Event,
+                               const HeadDocument &Head,
                                Actions &NewActions) const {
   const RulesVersion Version = Head.version();
   std::string Message;
@@ -106,7 +107,7 @@
   }
 }
 
-void Adoption::queueHead(const HeadSeen &Event, HeadDocument Head) {
+void Adoption::queueHead(const HeadReceived &Event, HeadDocument Head) {
   std::erase_if(PendingHeads, [&](const PendingHead &P) {
     return P.Event.From == Event.From;
   });
@@ -156,7 +157,7 @@
   NewActions.push_back(PullBase{});
 }
 
-void Adoption::applyHead(const HeadSeen &Event, const HeadDocument &Head,
+void Adoption::applyHead(const HeadReceived &Event, const HeadDocument &Head,
                          ChainState NextState, Actions &NewActions) {
   const RulesVersion Version = Head.version();
   std::optional<ChainState> OldBase = Base;
@@ -190,8 +191,9 @@
   return Result;
 }
 
-absl::Status Adoption::adopt(const HeadSeen &Event, const HeadDocument &Head,
-                             ChainState NextState, Actions &NewActions) {
+absl::Status Adoption::adopt(const HeadReceived &Event,
+                             const HeadDocument &Head, ChainState NextState,
+                             Actions &NewActions) {
   if (NextState.version() < Options.Lowest) {
     return absl::FailedPreconditionError(
         fmt::format("version {} is below the lowest allowed, {}",
@@ -244,8 +246,8 @@
   }
   const StoreEntry &Entry = Event.Reply.Entry;
   if (*Key == HeadKey) {
-    process(HeadSeen{std::string(StoreSender), Entry.Version, Entry.Value}, Now,
-            NewActions);
+    process(HeadReceived{std::string(StoreSender), Entry.Version, Entry.Value},
+            Now, NewActions);
   } else if (*Key == BaseKey) {
     process(BaseSeen{std::string(StoreSender), Entry.Value}, Now, NewActions);
   }
--- a/Source/Rules/include/balsamlatch/Rules/Adoption.h
+++ b/Source/Rules/include/balsamlatch/Rules/Adoption.h
@@ -20,7 +20,7 @@
 namespace balsamlatch {
 
 /// Event: a head document received from the store or from a peer.
-struct HeadSeen {
+struct HeadReceived {
   /// Sender: "store" or the peer's name; for the log.
   std::string From;
   /// Version of HeadKey in the store; returned with HeadInForce.
@@ -44,7 +44,7 @@
 struct AdoptionTick {};
 
 using AdoptionEvent =
-    std::variant<HeadSeen, BaseSeen, StoreReplied, AdoptionTick>;
+    std::variant<HeadReceived, BaseSeen, StoreReplied, AdoptionTick>;
 
 /// Action: send the request to the store and report its reply by StoreReplied.
 struct CallStore {
@@ -115,29 +115,29 @@
 
   /// A head that can't be verified before its base document arrives.
   struct PendingHead {
-    HeadSeen Event;
+    HeadReceived Event;
     HeadDocument Head;
   };
 
-  void process(const HeadSeen &Event, Instant Now, Actions &NewActions);
+  void process(const HeadReceived &Event, Instant Now, Actions &NewActions);
   void process(const BaseSeen &Event, Instant Now, Actions &NewActions);
   void process(const StoreReplied &Event, Instant Now, Actions &NewActions);
   void process(const AdoptionTick &Tick, Instant Now, Actions &NewActions);
   /// Logs a head that is older than the version in force, or that has a
   /// different chain for the same version.
-  void reportStaleHead(const HeadSeen &Event, const HeadDocument &Head,
+  void reportStaleHead(const HeadReceived &Event, const HeadDocument &Head,
                        Actions &NewActions) const;
-  void queueHead(const HeadSeen &Event, HeadDocument Head);
+  void queueHead(const HeadReceived &Event, HeadDocument Head);
   void requestBase(Instant Now, Actions &NewActions);
   /// Returns the delay before the next read and doubles it for the one after,
   /// up to MaxRetryPause.
   Duration nextRetryDelay();
-  void applyHead(const HeadSeen &Event, const HeadDocument &Head,
+  void applyHead(const HeadReceived &Event, const HeadDocument &Head,
                  ChainState NextState, Actions &NewActions);
   absl::Status adoptWithBase(const PendingHead &Candidate,
                              const BaseDocument &Document, Actions &NewActions);
   /// Puts the rules of a verified state in force.
-  absl::Status adopt(const HeadSeen &Event, const HeadDocument &Head,
+  absl::Status adopt(const HeadReceived &Event, const HeadDocument &Head,
                      ChainState NextState, Actions &NewActions);
   /// Moves Base forward to the base version of the next head.
   void advanceBase(const HeadDocument &NextHead);
--- a/Tests/Rules/AdoptionSimulation.cpp
+++ b/Tests/Rules/AdoptionSimulation.cpp
@@ -221,8 +221,8 @@
     return;
   }
   schedule(3ms, [this, From, To, Head] {
-    deliver(To, HeadSeen{fmt::format("entry {}", From), Head.StoreVersion,
-                         Head.Text});
+    deliver(To, HeadReceived{fmt::format("entry {}", From), Head.StoreVersion,
+                             Head.Text});
   });
 }
 
--- a/Tests/Rules/AdoptionTest.cpp
+++ b/Tests/Rules/AdoptionTest.cpp
@@ -87,7 +87,7 @@
   NewEntry.handle(
       StoreReplied{std::get<CallStore>(StartActions[0]).Request, Unavailable},
       Now);
-  NewEntry.handle(HeadSeen{"peer", 7, printHead(View.Head)}, Now);
+  NewEntry.handle(HeadReceived{"peer", 7, printHead(View.Head)}, Now);
   const std::vector<AdoptionAction> NewActions = NewEntry.handle(
       StoreReplied{StoreRead{std::string(BaseKey)}, Unavailable}, Now);
   BOOST_REQUIRE(NewActions.size() == 1U);
@@ -106,7 +106,7 @@
   const Owners Keys;
   const ChainView View = initialView(Keys);
   Adoption Entry({Keys.keys(), RulesVersion(2)});
-  Entry.handle(HeadSeen{"peer", 1, printHead(View.Head)}, Instant());
+  Entry.handle(HeadReceived{"peer", 1, printHead(View.Head)}, Instant());
   const std::vector<AdoptionAction> NewActions =
       Entry.handle(BaseSeen{"peer", printBase(View.Base)}, Instant());
   BOOST_TEST(!Entry.rules());
--- a/Utilities/RulesBench/RulesBench.cpp
+++ b/Utilities/RulesBench/RulesBench.cpp
@@ -77,7 +77,7 @@
       *startChain(textOf(Lines, A, B, true), RulesVersion(1), "n", A, B);
   const OwnerKeys Keys = ownerKeys(A.publicKey(), B.publicKey());
   Adoption Entry({Keys, RulesVersion()});
-  Entry.handle(HeadSeen{"peer", 1, printHead(View.Head)}, Instant());
+  Entry.handle(HeadReceived{"peer", 1, printHead(View.Head)}, Instant());
   Entry.handle(BaseSeen{"peer", printBase(View.Base)}, Instant());
   double Follow = 0;
   std::size_t HeadBytes = 0;
@@ -99,14 +99,14 @@
     HeadBytes += Head.size();
     BaseBytes += Plan.BaseChanges ? printBase(View.Base).size() : 0;
     Follow += milliseconds([&] {
-      Entry.handle(HeadSeen{"peer", I + 2, Head}, Instant());
+      Entry.handle(HeadReceived{"peer", I + 2, Head}, Instant());
     });
   }
   const std::string Head = printHead(View.Head);
   const std::string Base = printBase(View.Base);
   const double Fresh = milliseconds([&] {
     Adoption New({Keys, RulesVersion()});
-    New.handle(HeadSeen{"peer", 1, Head}, Instant());
+    New.handle(HeadReceived{"peer", 1, Head}, Instant());
     New.handle(BaseSeen{"peer", Base}, Instant());
   });
   const double PerChange = Follow / Rounds;
