--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -293,7 +293,7 @@
   };
   Callbacks.BaseDocumentReceived = [this](const EntryName &From,
                                           std::string Text) {
-    Fleet.tryPush(AdoptionEvent(BaseSeen{From.Text, std::move(Text)}));
+    Fleet.tryPush(AdoptionEvent(BaseReceived{From.Text, std::move(Text)}));
   };
   Callbacks.SlotMessageReceived =
       [this](placement::SlotMessageArrived Message) {
--- a/Source/Rules/Adoption.cpp
+++ b/Source/Rules/Adoption.cpp
@@ -117,7 +117,8 @@
   PendingHeads.push_back({Event, std::move(Head)});
 }
 
-void Adoption::process(const BaseSeen &Event, Instant, Actions &NewActions) {
+void Adoption::process(const BaseReceived &Event, Instant,
+                       Actions &NewActions) {
   if (PendingHeads.empty()) {
     return;
   }
@@ -249,7 +250,8 @@
     process(HeadReceived{std::string(StoreSender), Entry.Version, Entry.Value},
             Now, NewActions);
   } else if (*Key == BaseKey) {
-    process(BaseSeen{std::string(StoreSender), Entry.Value}, Now, NewActions);
+    process(BaseReceived{std::string(StoreSender), Entry.Value}, Now,
+            NewActions);
   }
 }
 
--- a/Source/Rules/include/balsamlatch/Rules/Adoption.h
+++ b/Source/Rules/include/balsamlatch/Rules/Adoption.h
@@ -29,7 +29,7 @@
 };
 
 /// Event: a base document received from the store or from a peer.
-struct BaseSeen {
+struct BaseReceived {
   std::string From;
   std::string Text;
 };
@@ -44,14 +44,15 @@
 struct AdoptionTick {};
 
 using AdoptionEvent =
-    std::variant<HeadReceived, BaseSeen, StoreReplied, AdoptionTick>;
+    std::variant<HeadReceived, BaseReceived, StoreReplied, AdoptionTick>;
 
 /// Action: send the request to the store and report its reply by StoreReplied.
 struct CallStore {
   StoreRequest Request;
 };
 
-/// Action: request baseDocument() of any live peer and report it by BaseSeen.
+/// Action: request baseDocument() of any live peer and report it by
+/// BaseReceived.
 struct PullBase {};
 
 /// Action: replace the rules in force by these.
@@ -120,7 +121,7 @@
   };
 
   void process(const HeadReceived &Event, Instant Now, Actions &NewActions);
-  void process(const BaseSeen &Event, Instant Now, Actions &NewActions);
+  void process(const BaseReceived &Event, Instant Now, Actions &NewActions);
   void process(const StoreReplied &Event, Instant Now, Actions &NewActions);
   void process(const AdoptionTick &Tick, Instant Now, Actions &NewActions);
   /// Logs a head that is older than the version in force, or that has a
--- a/Tests/Rules/AdoptionSimulation.cpp
+++ b/Tests/Rules/AdoptionSimulation.cpp
@@ -200,7 +200,7 @@
     const std::string Text = Nodes[Peer].StateMachine.baseDocument();
     if (!Text.empty() && !isIsolated(Index) && !isIsolated(Peer)) {
       schedule(3ms, [this, Index, Text] {
-        deliver(Index, BaseSeen{"peer", Text});
+        deliver(Index, BaseReceived{"peer", Text});
       });
     }
   } else if (const auto *InForce = std::get_if<RulesInForce>(&Action)) {
--- a/Tests/Rules/AdoptionTest.cpp
+++ b/Tests/Rules/AdoptionTest.cpp
@@ -93,7 +93,7 @@
   BOOST_REQUIRE(NewActions.size() == 1U);
   BOOST_TEST(std::holds_alternative<PullBase>(NewActions[0]));
   BOOST_TEST(!NewEntry.rules());
-  NewEntry.handle(BaseSeen{"peer", printBase(View.Base)}, Now);
+  NewEntry.handle(BaseReceived{"peer", printBase(View.Base)}, Now);
   BOOST_REQUIRE(NewEntry.rules() != nullptr);
   BOOST_TEST(NewEntry.rules()->Version.Value == 31U);
   // Its base document lets the next new entry verify the head.
@@ -108,7 +108,7 @@
   Adoption Entry({Keys.keys(), RulesVersion(2)});
   Entry.handle(HeadReceived{"peer", 1, printHead(View.Head)}, Instant());
   const std::vector<AdoptionAction> NewActions =
-      Entry.handle(BaseSeen{"peer", printBase(View.Base)}, Instant());
+      Entry.handle(BaseReceived{"peer", printBase(View.Base)}, Instant());
   BOOST_TEST(!Entry.rules());
   const auto *Report = std::get_if<AdoptionReport>(&NewActions.front());
   BOOST_REQUIRE(Report != nullptr);
--- a/Utilities/RulesBench/RulesBench.cpp
+++ b/Utilities/RulesBench/RulesBench.cpp
@@ -78,7 +78,7 @@
   const OwnerKeys Keys = ownerKeys(A.publicKey(), B.publicKey());
   Adoption Entry({Keys, RulesVersion()});
   Entry.handle(HeadReceived{"peer", 1, printHead(View.Head)}, Instant());
-  Entry.handle(BaseSeen{"peer", printBase(View.Base)}, Instant());
+  Entry.handle(BaseReceived{"peer", printBase(View.Base)}, Instant());
   double Follow = 0;
   std::size_t HeadBytes = 0;
   std::size_t BaseBytes = 0;
@@ -107,7 +107,7 @@
   const double Fresh = milliseconds([&] {
     Adoption New({Keys, RulesVersion()});
     New.handle(HeadReceived{"peer", 1, Head}, Instant());
-    New.handle(BaseSeen{"peer", Base}, Instant());
+    New.handle(BaseReceived{"peer", Base}, Instant());
   });
   const double PerChange = Follow / Rounds;
   fmt::print("chain: {} lines, in force {}: {:.2f} ms a change to follow, "
