--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -104,7 +104,7 @@
   for (AdoptionAction &Action : Actions) {
     if (auto *StoreCall = std::get_if<CallStore>(&Action)) {
       Callbacks.SubmitRulesRequest(std::move(StoreCall->Request));
-    } else if (std::holds_alternative<PullBase>(Action)) {
+    } else if (std::holds_alternative<RequestBase>(Action)) {
       Callbacks.PullBaseDocument();
     } else if (auto *RulesAction = std::get_if<RulesInForce>(&Action)) {
       Event = placement::RulesChanged{RulesAction->Rules};
--- a/Source/Rules/Adoption.cpp
+++ b/Source/Rules/Adoption.cpp
@@ -125,7 +125,7 @@
   const absl::StatusOr<BaseDocument> Document = parseBase(Event.Text);
   if (!Document.ok()) {
     reportRefusal(Event.From, RulesVersion(), Document.status(), NewActions);
-    NewActions.push_back(PullBase{});
+    NewActions.push_back(RequestBase{});
     return;
   }
   // Tries every head, the highest version first, so that a forged head with a
@@ -155,7 +155,7 @@
     // The base doesn't fit the remaining heads: one of the two is outdated.
     NewActions.push_back(makeRead(HeadKey));
   }
-  NewActions.push_back(PullBase{});
+  NewActions.push_back(RequestBase{});
 }
 
 void Adoption::applyHead(const HeadReceived &Event, const HeadDocument &Head,
@@ -241,7 +241,7 @@
   }
   if (!Event.Reply.Status.ok() || !Event.Reply.Entry.present()) {
     if (*Key == BaseKey) {
-      NewActions.push_back(PullBase{});
+      NewActions.push_back(RequestBase{});
     }
     return;
   }
--- a/Source/Rules/include/balsamlatch/Rules/Adoption.h
+++ b/Source/Rules/include/balsamlatch/Rules/Adoption.h
@@ -53,7 +53,7 @@
 
 /// Action: request baseDocument() of any live peer and report it by
 /// BaseReceived.
-struct PullBase {};
+struct RequestBase {};
 
 /// Action: replace the rules in force by these.
 struct RulesInForce {
@@ -76,7 +76,7 @@
   std::string Message;
 };
 
-using AdoptionAction = std::variant<CallStore, PullBase, RulesInForce,
+using AdoptionAction = std::variant<CallStore, RequestBase, RulesInForce,
                                     HeadInForce, AdoptionReport>;
 
 struct AdoptionOptions {
--- a/Tests/Rules/AdoptionSimulation.cpp
+++ b/Tests/Rules/AdoptionSimulation.cpp
@@ -195,7 +195,7 @@
 void Simulation::execute(std::size_t Index, const AdoptionAction &Action) {
   if (const auto *Call = std::get_if<CallStore>(&Action)) {
     scheduleRead(Index, Call->Request);
-  } else if (std::holds_alternative<PullBase>(Action)) {
+  } else if (std::holds_alternative<RequestBase>(Action)) {
     const std::size_t Peer = Random() % EntryCount;
     const std::string Text = Nodes[Peer].StateMachine.baseDocument();
     if (!Text.empty() && !isIsolated(Index) && !isIsolated(Peer)) {
--- a/Tests/Rules/AdoptionTest.cpp
+++ b/Tests/Rules/AdoptionTest.cpp
@@ -91,7 +91,7 @@
   const std::vector<AdoptionAction> NewActions = NewEntry.handle(
       StoreReplied{StoreRead{std::string(BaseKey)}, Unavailable}, Now);
   BOOST_REQUIRE(NewActions.size() == 1U);
-  BOOST_TEST(std::holds_alternative<PullBase>(NewActions[0]));
+  BOOST_TEST(std::holds_alternative<RequestBase>(NewActions[0]));
   BOOST_TEST(!NewEntry.rules());
   NewEntry.handle(BaseReceived{"peer", printBase(View.Base)}, Now);
   BOOST_REQUIRE(NewEntry.rules() != nullptr);
