--- a/Source/Rules/Chain.cpp
+++ b/Source/Rules/Chain.cpp
@@ -77,7 +77,7 @@
   return A < B ? OwnerKeys{A, B} : OwnerKeys{B, A};
 }
 
-absl::StatusOr<OwnerKeys> ownersOf(std::string_view Text) {
+absl::StatusOr<OwnerKeys> parseOwnerKeys(std::string_view Text) {
   std::vector<PublicKey> OwnerLineKeys;
   for (const std::string_view Line : splitLines(Text)) {
     // Skips most lines without tokenizing them: only two are owner lines.
@@ -107,7 +107,7 @@
 
 absl::StatusOr<ChainState> ChainState::first(const Genesis &FirstVersion,
                                              std::string Text) {
-  const absl::StatusOr<OwnerKeys> Owners = ownersOf(Text);
+  const absl::StatusOr<OwnerKeys> Owners = parseOwnerKeys(Text);
   if (!Owners.ok()) {
     return Owners.status();
   }
@@ -212,7 +212,7 @@
   if (!Result.Conflicts.empty()) {
     return makeConflictError(Result.Conflicts);
   }
-  const absl::StatusOr<OwnerKeys> NewOwners = ownersOf(Result.Text);
+  const absl::StatusOr<OwnerKeys> NewOwners = parseOwnerKeys(Result.Text);
   if (!NewOwners.ok()) {
     return NewOwners.status();
   }
@@ -301,7 +301,7 @@
 }
 
 absl::StatusOr<ChainState> ChainState::fromBase(const BaseDocument &Base) {
-  const absl::StatusOr<OwnerKeys> Owners = ownersOf(Base.Text);
+  const absl::StatusOr<OwnerKeys> Owners = parseOwnerKeys(Base.Text);
   if (!Owners.ok()) {
     return Owners.status();
   }
--- a/Source/Rules/Landing.cpp
+++ b/Source/Rules/Landing.cpp
@@ -122,7 +122,7 @@
   }
   const absl::StatusOr<OwnerKeys> Keys =
       TrustedOwners ? absl::StatusOr<OwnerKeys>(*TrustedOwners)
-                    : ownersOf(Base->Text);
+                    : parseOwnerKeys(Base->Text);
   if (!Keys.ok()) {
     return Keys.status();
   }
@@ -178,7 +178,8 @@
   }
   const EditResult Result = applyEdits(View.Latest.text(), Proposal.Edits);
   const absl::StatusOr<OwnerKeys> NewOwnerKeys =
-      Result.Conflicts.empty() ? ownersOf(Result.Text) : View.Latest.owners();
+      Result.Conflicts.empty() ? parseOwnerKeys(Result.Text)
+                               : View.Latest.owners();
   if (!NewOwnerKeys.ok()) {
     return NewOwnerKeys.status();
   }
--- a/Source/Rules/include/balsamlatch/Rules/Chain.h
+++ b/Source/Rules/include/balsamlatch/Rules/Chain.h
@@ -102,7 +102,7 @@
 
 /// Reads the keys of the two owner lines of a text. FailedPrecondition unless
 /// there are exactly two with different keys.
-absl::StatusOr<OwnerKeys> ownersOf(std::string_view Text);
+absl::StatusOr<OwnerKeys> parseOwnerKeys(std::string_view Text);
 
 /// Sorts the two keys.
 OwnerKeys ownerKeys(const PublicKey &A, const PublicKey &B);
--- a/Source/Tool/ProposeCommands.cpp
+++ b/Source/Tool/ProposeCommands.cpp
@@ -216,7 +216,7 @@
   const absl::StatusOr<std::string> Text =
       (*Chain)->textAtVersion(*View, RulesVersion(*Version));
   const absl::StatusOr<OwnerKeys> Owners =
-      Text.ok() ? ownersOf(*Text) : Text.status();
+      Text.ok() ? parseOwnerKeys(*Text) : Text.status();
   if (!Owners.ok()) {
     return Owners.status();
   }
