--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -53,8 +53,9 @@
     return parseHex<PublicKey>(HexDigits).value_or(PublicKey());
   };
   AdoptionOptions Options;
-  Options.Trusted = ownerKeys(ParseKey(Config.GenesisOwners.begin()->second),
-                              ParseKey(Config.GenesisOwners.rbegin()->second));
+  Options.Trusted =
+      sortedOwnerKeys(ParseKey(Config.GenesisOwners.begin()->second),
+                      ParseKey(Config.GenesisOwners.rbegin()->second));
   return Options;
 }
 
--- a/Source/Rules/Chain.cpp
+++ b/Source/Rules/Chain.cpp
@@ -73,7 +73,7 @@
   return Encoder.bytes();
 }
 
-OwnerKeys ownerKeys(const PublicKey &A, const PublicKey &B) {
+OwnerKeys sortedOwnerKeys(const PublicKey &A, const PublicKey &B) {
   return A < B ? OwnerKeys{A, B} : OwnerKeys{B, A};
 }
 
@@ -102,7 +102,7 @@
     return absl::FailedPreconditionError(
         "the text doesn't name two co-owners with different keys");
   }
-  return ownerKeys(OwnerLineKeys[0], OwnerLineKeys[1]);
+  return sortedOwnerKeys(OwnerLineKeys[0], OwnerLineKeys[1]);
 }
 
 absl::StatusOr<ChainState> ChainState::first(const Genesis &FirstVersion,
@@ -222,10 +222,10 @@
     return absl::FailedPreconditionError(
         "a change of keys must be based on the latest version");
   }
-  if (KeysChange
-          ? DeclaredOwners.size() != 2 ||
-                ownerKeys(DeclaredOwners[0], DeclaredOwners[1]) != *NewOwners
-          : !DeclaredOwners.empty()) {
+  if (KeysChange ? DeclaredOwners.size() != 2 ||
+                       sortedOwnerKeys(DeclaredOwners[0], DeclaredOwners[1]) !=
+                           *NewOwners
+                 : !DeclaredOwners.empty()) {
     return absl::FailedPreconditionError(
         "the owner keys that the change declares don't match its text");
   }
--- a/Source/Rules/HeadVerifier.cpp
+++ b/Source/Rules/HeadVerifier.cpp
@@ -43,7 +43,7 @@
     if (NewKeys.size() != 2 || NewKeys[0] == NewKeys[1]) {
       continue;
     }
-    const OwnerKeys KeyPair = ownerKeys(NewKeys[0], NewKeys[1]);
+    const OwnerKeys KeyPair = sortedOwnerKeys(NewKeys[0], NewKeys[1]);
     const std::vector<PublicKey> Signers =
         requiredSigners(Pairs.back(), KeyPair);
     if (std::all_of(Signers.begin(), Signers.end(), [&](const PublicKey &Key) {
--- a/Source/Rules/include/balsamlatch/Rules/Chain.h
+++ b/Source/Rules/include/balsamlatch/Rules/Chain.h
@@ -105,7 +105,7 @@
 absl::StatusOr<OwnerKeys> parseOwnerKeys(std::string_view Text);
 
 /// Sorts the two keys.
-OwnerKeys ownerKeys(const PublicKey &A, const PublicKey &B);
+OwnerKeys sortedOwnerKeys(const PublicKey &A, const PublicKey &B);
 
 /// One version of the rules with all that is needed to verify the next.
 /// Immutable.
--- a/Source/Tool/ChainOptions.cpp
+++ b/Source/Tool/ChainOptions.cpp
@@ -35,7 +35,7 @@
     return usageError(
         "--owners takes two different public keys with a comma between them");
   }
-  return ownerKeys(*FirstKey, *SecondKey);
+  return sortedOwnerKeys(*FirstKey, *SecondKey);
 }
 
 } // namespace
--- a/Tests/Rules/ChainFixture.h
+++ b/Tests/Rules/ChainFixture.h
@@ -24,7 +24,7 @@
   PrivateKey Carl = exampleKey("carl");
 
   OwnerKeys keys() const {
-    return ownerKeys(Anna.publicKey(), Beat.publicKey());
+    return sortedOwnerKeys(Anna.publicKey(), Beat.publicKey());
   }
 };
 
--- a/Tests/Rules/ChainTest.cpp
+++ b/Tests/Rules/ChainTest.cpp
@@ -111,7 +111,7 @@
           Keys.Anna)
           ->View;
   const OwnerKeys NewKeys =
-      ownerKeys(Keys.Anna.publicKey(), Keys.Carl.publicKey());
+      sortedOwnerKeys(Keys.Anna.publicKey(), Keys.Carl.publicKey());
   BOOST_TEST((Next.Latest.owners() == NewKeys));
   Owners NewOwners;
   NewOwners.Beat = Keys.Carl;
@@ -143,9 +143,9 @@
     BOOST_TEST((Reread->Head == View.Head));
   }
   BOOST_TEST(View.Latest.version().Value == 101U);
-  BOOST_TEST(absl::IsPermissionDenied(
-      verifyPrinted(printHead(View.Head), printBase(View.Base),
-                    ownerKeys(Keys.Anna.publicKey(), Keys.Carl.publicKey()))));
+  BOOST_TEST(absl::IsPermissionDenied(verifyPrinted(
+      printHead(View.Head), printBase(View.Base),
+      sortedOwnerKeys(Keys.Anna.publicKey(), Keys.Carl.publicKey()))));
 }
 
 BOOST_AUTO_TEST_CASE(TamperedDocumentsAreRefused) {
--- a/Utilities/RulesBench/RulesBench.cpp
+++ b/Utilities/RulesBench/RulesBench.cpp
@@ -75,7 +75,7 @@
   constexpr unsigned Rounds = 64;
   ChainView View =
       *startChain(textOf(Lines, A, B, true), RulesVersion(1), "n", A, B);
-  const OwnerKeys Keys = ownerKeys(A.publicKey(), B.publicKey());
+  const OwnerKeys Keys = sortedOwnerKeys(A.publicKey(), B.publicKey());
   Adoption Entry({Keys, RulesVersion()});
   Entry.handle(HeadReceived{"peer", 1, printHead(View.Head)}, Instant());
   Entry.handle(BaseReceived{"peer", printBase(View.Base)}, Instant());
