--- a/Source/Rules/Chain.cpp
+++ b/Source/Rules/Chain.cpp
@@ -194,7 +194,7 @@
 absl::Status ChainState::checkApprovals(const SignedChange &Proposal,
                                         const OwnerKeys &NewOwners) const {
   for (const PublicKey &Key : requiredSigners(Owners, NewOwners)) {
-    if (!approvedBy(Proposal, Key)) {
+    if (!isApprovedBy(Proposal, Key)) {
       return absl::PermissionDeniedError(fmt::format(
           "the change lacks a valid signature of {}", abbreviateKey(Key)));
     }
--- a/Source/Rules/Change.cpp
+++ b/Source/Rules/Change.cpp
@@ -46,7 +46,7 @@
   return {Key.publicKey(), Key.sign(approvalMessage(Proposal))};
 }
 
-bool approvedBy(const SignedChange &Proposal, const PublicKey &Key) {
+bool isApprovedBy(const SignedChange &Proposal, const PublicKey &Key) {
   const auto Match =
       std::find_if(Proposal.Approvals.begin(), Proposal.Approvals.end(),
                    [&](const Approval &Entry) { return Entry.Key == Key; });
--- a/Source/Rules/HeadVerifier.cpp
+++ b/Source/Rules/HeadVerifier.cpp
@@ -47,7 +47,7 @@
     const std::vector<PublicKey> Signers =
         requiredSigners(Pairs.back(), KeyPair);
     if (std::all_of(Signers.begin(), Signers.end(), [&](const PublicKey &Key) {
-          return approvedBy(Entry.Subject, Key);
+          return isApprovedBy(Entry.Subject, Key);
         })) {
       Pairs.push_back(KeyPair);
     }
@@ -146,7 +146,7 @@
     const Change &Content = Entry.Subject.Content;
     const Digest *BaseChain = latest().chainHashAt(Content.Base);
     if (Content.Base > Latest && BaseChain != nullptr &&
-        *BaseChain == Content.BaseChain && approvedBy(Entry.Subject, Key)) {
+        *BaseChain == Content.BaseChain && isApprovedBy(Entry.Subject, Key)) {
       Latest = Content.Base;
     }
   }
--- a/Source/Rules/Landing.cpp
+++ b/Source/Rules/Landing.cpp
@@ -203,7 +203,7 @@
   std::vector<PublicKey> MissingKeys =
       requiredSigners(View.Latest.owners(), *NewOwnerKeys);
   std::erase_if(MissingKeys, [&](const PublicKey &Key) {
-    return approvedBy(Proposal, Key);
+    return isApprovedBy(Proposal, Key);
   });
   return MissingKeys;
 }
--- a/Source/Rules/include/balsamlatch/Rules/Change.h
+++ b/Source/Rules/include/balsamlatch/Rules/Change.h
@@ -73,7 +73,7 @@
 Approval approve(const Change &Proposal, const PrivateKey &Key);
 
 /// Whether the change has a valid signature by the key.
-bool approvedBy(const SignedChange &Proposal, const PublicKey &Key);
+bool isApprovedBy(const SignedChange &Proposal, const PublicKey &Key);
 
 /// An edit whose expected lines are no longer in the text.
 struct EditConflict {
--- a/Source/Tool/SignCommands.cpp
+++ b/Source/Tool/SignCommands.cpp
@@ -124,7 +124,7 @@
                                 Context.Key.publicKey());
   if (OwnKey == RemainingKeys->end() && !RemainingKeys->empty()) {
     return absl::PermissionDeniedError(
-        approvedBy(Context.Proposal, Context.Key.publicKey())
+        isApprovedBy(Context.Proposal, Context.Key.publicKey())
             ? fmt::format("you have signed this; it waits for {}",
                           fmt::join(ownerNames(Context, *RemainingKeys), ", "))
             : "the key is none of those that must sign");
