--- a/Source/Rules/include/balsamlatch/Rules/Landing.h
+++ b/Source/Rules/include/balsamlatch/Rules/Landing.h
@@ -75,10 +75,10 @@
 };
 
 /// The writes of a landing, in this order: Retired to the log, the base
-/// document if BaseChanges, then the head.
+/// document if IsBaseChanged, then the head.
 struct LandingPlan {
   ChainView View;
-  bool BaseChanges = false;
+  bool IsBaseChanged = false;
   /// Changes that compaction removes from the head.
   std::vector<RetiredChange> Retired;
 };
--- a/Source/Tool/ChainStore.cpp
+++ b/Source/Tool/ChainStore.cpp
@@ -196,7 +196,7 @@
   if (!LogStatus.ok()) {
     return LogStatus;
   }
-  if (Plan.BaseChanges) {
+  if (Plan.IsBaseChanged) {
     absl::StatusOr<bool> Swapped =
         compareAndSwap(BaseKey, Chain.BaseVersion, printBase(Plan.View.Base));
     if (!Swapped.ok() || !*Swapped) {
--- a/Utilities/RulesBench/RulesBench.cpp
+++ b/Utilities/RulesBench/RulesBench.cpp
@@ -97,7 +97,7 @@
     View = Plan.View;
     const std::string Head = printHead(View.Head);
     HeadBytes += Head.size();
-    BaseBytes += Plan.BaseChanges ? printBase(View.Base).size() : 0;
+    BaseBytes += Plan.IsBaseChanged ? printBase(View.Base).size() : 0;
     Follow += milliseconds([&] {
       Entry.handle(HeadReceived{"peer", I + 2, Head}, Instant());
     });
