--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -239,7 +239,7 @@
   for (membership::Outgoing &Message : Step.Messages) {
     enqueue(Message.To, Message.At, std::move(Message.Content));
   }
-  if (Step.ViewChanged) {
+  if (Step.LiveMembersChanged) {
     handleViewChange();
   }
 }
--- a/Source/Membership/Group.cpp
+++ b/Source/Membership/Group.cpp
@@ -35,7 +35,7 @@
     if (M.Entry != Self.Entry && findPeer(M.Entry) == nullptr) {
       // Not gossiped: every entry gets the same list.
       Peers[M.Entry] = Peer{M, Now};
-      Result.ViewChanged |= isLiveState(M.State);
+      Result.LiveMembersChanged |= isLiveState(M.State);
     }
   }
   return Result;
@@ -140,7 +140,8 @@
   const bool HasSameState =
       KnownPeer != nullptr && KnownPeer->Record.State == Update.State;
   Peers[Update.Entry] = Peer{Update, Now};
-  Result.ViewChanged |= WasLive != isLiveState(Update.State) || !HasSameAddress;
+  Result.LiveMembersChanged |=
+      WasLive != isLiveState(Update.State) || !HasSameAddress;
   if (!HasSameState || !HasSameAddress) {
     // A higher incarnation alone is not gossiped: the entry is live before and
     // after the restart.
--- a/Source/Membership/include/balsamlatch/Membership/Group.h
+++ b/Source/Membership/include/balsamlatch/Membership/Group.h
@@ -46,7 +46,7 @@
 struct GroupStep {
   std::vector<Outgoing> Messages;
   /// Whether the set of live members or the address of a member changed.
-  bool ViewChanged = false;
+  bool LiveMembersChanged = false;
 };
 
 /// Membership list and failure detector of one entry. Not thread safe.
--- a/Utilities/Bench/MembershipBench.cpp
+++ b/Utilities/Bench/MembershipBench.cpp
@@ -189,7 +189,7 @@
     for (const Outgoing &O : Step.Messages) {
       send(From, O);
     }
-    if (Step.ViewChanged) {
+    if (Step.LiveMembersChanged) {
       takeExchange(From, Entries[From]->Documents.view(
                              Entries[From]->Members.live(), Now));
     }
