--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -110,7 +110,8 @@
   for (const membership::Member &Member : Group->live()) {
     if (Member.Entry != Config.Entry) {
       enqueue(Member.Entry, Member.At,
-              membership::Message(membership::LedgerConfirm{Document.Version}));
+              membership::Message(
+                  membership::LedgerConfirmation{Document.Version}));
     }
   }
   publishPeers();
@@ -181,7 +182,7 @@
   } else if (const auto *Ack = std::get_if<membership::Ack>(&Message)) {
     updatePeerVersions(From, Ack->InForce);
   } else if (const auto *Confirm =
-                 std::get_if<membership::LedgerConfirm>(&Message)) {
+                 std::get_if<membership::LedgerConfirmation>(&Message)) {
     std::uint64_t &LedgerVersion = PeerLedgerVersions[From];
     LedgerVersion = std::max(LedgerVersion, Confirm->Version);
     publishPeers();
--- a/Source/Membership/include/balsamlatch/Membership/Messages.h
+++ b/Source/Membership/include/balsamlatch/Membership/Messages.h
@@ -64,14 +64,14 @@
 
 /// Confirms to the fleet controller that the sender acts on this ledger
 /// version.
-struct LedgerConfirm {
+struct LedgerConfirmation {
   std::uint64_t Version = 0;
 
-  auto operator<=>(const LedgerConfirm &) const = default;
+  auto operator<=>(const LedgerConfirmation &) const = default;
 };
 
 using Message = std::variant<Probe, Ack, ProbeRequest, DocumentPush,
-                             DocumentPull, LedgerConfirm>;
+                             DocumentPull, LedgerConfirmation>;
 
 /// A message to be sent to one entry.
 struct Outgoing {
--- a/Source/Wire/PeerCodec.cpp
+++ b/Source/Wire/PeerCodec.cpp
@@ -80,7 +80,7 @@
   json::object operator()(const DocumentPull &P) const {
     return {{"kind", "pull"}, {"key", P.Key}, {"after", P.AfterVersion}};
   }
-  json::object operator()(const LedgerConfirm &C) const {
+  json::object operator()(const LedgerConfirmation &C) const {
     return {{"kind", "ledger-confirm"}, {"version", C.Version}};
   }
   json::object operator()(const SlotRequest &A) const {
@@ -180,7 +180,7 @@
 }
 
 PeerMessage readConfirm(JsonReader &Object) {
-  return Message(LedgerConfirm{Object.number<std::uint64_t>("version")});
+  return Message(LedgerConfirmation{Object.number<std::uint64_t>("version")});
 }
 
 PeerMessage readSlotAsk(JsonReader &Object) {
--- a/Tests/Wire/PeerCodecTest.cpp
+++ b/Tests/Wire/PeerCodecTest.cpp
@@ -33,7 +33,7 @@
       Message(ProbeRequest{3, member("a"), EntryName("c")}),
       Message(DocumentPush{{"rules/head", 9, "text \"quoted\"\n"}}),
       Message(DocumentPull{"rules/head", 8}),
-      Message(LedgerConfirm{44}),
+      Message(LedgerConfirmation{44}),
       SlotMessage(SlotRequest{PoolName("p"),
                               3,
                               4,
@@ -64,7 +64,7 @@
       R"([{"kind":"later"},{"kind":"ledger-confirm","version":3,"extra":1}])");
   BOOST_REQUIRE(Decoded.ok());
   BOOST_REQUIRE(Decoded->size() == 1u);
-  BOOST_TEST((Decoded->front() == PeerMessage(Message(LedgerConfirm{3}))));
+  BOOST_TEST((Decoded->front() == PeerMessage(Message(LedgerConfirmation{3}))));
 }
 
 BOOST_AUTO_TEST_CASE(ErrorsNameMessageAndMember) {
@@ -85,7 +85,7 @@
 
 BOOST_AUTO_TEST_CASE(OversizedBatchesAreRefused) {
   const std::vector<PeerMessage> Batch(MaxBatchMessages + 1,
-                                       Message(LedgerConfirm{1}));
+                                       Message(LedgerConfirmation{1}));
   BOOST_TEST(!decodeBatch(encodeBatch(Batch)).ok());
 }
 
