--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -356,7 +356,7 @@
     }
     EntryVersions.Live.push_back({Member.Entry, Ledger});
     PeerStatuses.push_back({Member.Entry,
-                            membership::memberStateCode(Member.State),
+                            membership::memberStateName(Member.State),
                             RulesVersion(Rules), Ledger});
   }
   Status.Peers.set(std::move(PeerStatuses));
--- a/Source/Membership/Member.cpp
+++ b/Source/Membership/Member.cpp
@@ -5,7 +5,7 @@
 
 namespace balsamlatch::membership {
 
-const char *memberStateCode(MemberState State) {
+const char *memberStateName(MemberState State) {
   switch (State) {
   case MemberState::Alive:
     return "alive";
--- a/Source/Membership/include/balsamlatch/Membership/Member.h
+++ b/Source/Membership/include/balsamlatch/Membership/Member.h
@@ -24,7 +24,7 @@
 };
 
 /// "alive", "suspect", "dead" or "left".
-const char *memberStateCode(MemberState State);
+const char *memberStateName(MemberState State);
 
 /// Membership record of one entry. Of two records of the same entry the higher
 /// incarnation wins; at equal incarnations the later MemberState wins.
