--- a/Source/Daemon/balsamlatchd.cpp
+++ b/Source/Daemon/balsamlatchd.cpp
@@ -91,11 +91,11 @@
   daemon::DaemonOptions Options;
   Options.Config = std::move(Parsed.Config);
   absl::StatusOr<std::string> Secret = readFile(Options.Config.PeerSecretPath);
-  if (!Secret.ok() || Secret->size() < wire::LeastSecretBytes) {
+  if (!Secret.ok() || Secret->size() < wire::MinSecretBytes) {
     fmt::print(stderr,
                "balsamlatchd: {}: the peer secret must be a file of at least "
                "{} bytes\n",
-               Options.Config.PeerSecretPath, wire::LeastSecretBytes);
+               Options.Config.PeerSecretPath, wire::MinSecretBytes);
     return ExitUsage;
   }
   Options.PeerSecret = *std::move(Secret);
--- a/Source/Wire/include/balsamlatch/Wire/PeerSeal.h
+++ b/Source/Wire/include/balsamlatch/Wire/PeerSeal.h
@@ -38,7 +38,7 @@
 absl::StatusOr<Seal> parseSeal(std::string_view Text);
 
 /// Minimum length of the secret that all entries share.
-inline constexpr std::size_t LeastSecretBytes = 32;
+inline constexpr std::size_t MinSecretBytes = 32;
 
 /// Authenticates the batches that this entry sends. Not thread safe.
 class Sealer {
--- a/Tests/Wire/PeerSealTest.cpp
+++ b/Tests/Wire/PeerSealTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const std::string Secret(LeastSecretBytes, 's');
+const std::string Secret(MinSecretBytes, 's');
 const EntryName A("a"), B("b"), C("c");
 const WallTime Start{std::chrono::hours(500'000)};
 
@@ -53,7 +53,7 @@
   BOOST_TEST(
       absl::IsUnauthenticated(Receiver.check(OtherSequence, "[1]", Start)));
   BOOST_TEST(absl::IsUnauthenticated(Receiver.check(OtherTime, "[1]", Start)));
-  SealChecker OtherSecretChecker(B, std::string(LeastSecretBytes, 'x'));
+  SealChecker OtherSecretChecker(B, std::string(MinSecretBytes, 'x'));
   BOOST_TEST(absl::IsUnauthenticated(
       OtherSecretChecker.check(ValidSeal, "[1]", Start)));
   SealChecker OtherEntryChecker(C, Secret);
--- a/Utilities/Bench/MembershipBench.cpp
+++ b/Utilities/Bench/MembershipBench.cpp
@@ -35,7 +35,7 @@
 constexpr std::size_t HttpOverheadBytes = 190;
 constexpr Duration WarmUp = 20s;
 constexpr Duration Measured = 60s;
-const std::string Secret(wire::LeastSecretBytes, 'k');
+const std::string Secret(wire::MinSecretBytes, 'k');
 const DocumentKey Rules = "rules/head";
 
 double processorSeconds() {
