--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -236,7 +236,7 @@
   }
 }
 
-void PeerService::execute(membership::GroupStep Step) {
+void PeerService::execute(membership::FailureDetectorOutput Step) {
   for (membership::Outgoing &Message : Step.Messages) {
     enqueue(Message.To, Message.At, std::move(Message.Content));
   }
--- a/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
@@ -97,7 +97,7 @@
                           const membership::Message &Message);
   void updatePeerVersions(const EntryName &From,
                           const membership::Versions &ActiveVersions);
-  void execute(membership::GroupStep Step);
+  void execute(membership::FailureDetectorOutput Step);
   void execute(membership::ExchangeStep Step);
   void enqueue(const EntryName &To, const Address &Destination,
                wire::PeerMessage Message);
--- a/Source/Membership/Group.cpp
+++ b/Source/Membership/Group.cpp
@@ -29,8 +29,9 @@
   Self.State = MemberState::Alive;
 }
 
-GroupStep Group::seed(const std::vector<Member> &Members, Instant Now) {
-  GroupStep Result;
+FailureDetectorOutput Group::seed(const std::vector<Member> &Members,
+                                  Instant Now) {
+  FailureDetectorOutput Result;
   for (const Member &M : Members) {
     if (M.Entry != Self.Entry && findPeer(M.Entry) == nullptr) {
       // Not gossiped: every entry gets the same list.
@@ -41,9 +42,11 @@
   return Result;
 }
 
-GroupStep Group::receive(const EntryName &Sender, const Message &Content,
-                         const Versions &LocalVersions, Instant Now) {
-  GroupStep Result;
+FailureDetectorOutput Group::receive(const EntryName &Sender,
+                                     const Message &Content,
+                                     const Versions &LocalVersions,
+                                     Instant Now) {
+  FailureDetectorOutput Result;
   if (HasLeft || Sender == Self.Entry) {
     return Result;
   }
@@ -57,8 +60,8 @@
   return Result;
 }
 
-GroupStep Group::tick(const Versions &LocalVersions, Instant Now) {
-  GroupStep Result;
+FailureDetectorOutput Group::tick(const Versions &LocalVersions, Instant Now) {
+  FailureDetectorOutput Result;
   if (HasLeft) {
     return Result;
   }
@@ -74,8 +77,8 @@
   return Result;
 }
 
-GroupStep Group::leave(Instant) {
-  GroupStep Result;
+FailureDetectorOutput Group::leave(Instant) {
+  FailureDetectorOutput Result;
   Self.State = MemberState::Left;
   HasLeft = true;
   std::vector<EntryName> Receivers;
@@ -121,7 +124,8 @@
   return It == Peers.end() ? nullptr : &It->second;
 }
 
-void Group::applyUpdate(const Member &Update, Instant Now, GroupStep &Result) {
+void Group::applyUpdate(const Member &Update, Instant Now,
+                        FailureDetectorOutput &Result) {
   if (Update.Entry == Self.Entry) {
     refute(Update);
     return;
@@ -150,7 +154,7 @@
 }
 
 void Group::applyUpdates(const std::vector<Member> &Updates, Instant Now,
-                         GroupStep &Result) {
+                         FailureDetectorOutput &Result) {
   for (const Member &M : Updates) {
     applyUpdate(M, Now, Result);
   }
@@ -202,14 +206,14 @@
 }
 
 void Group::send(const EntryName &Receiver, Message Content,
-                 GroupStep &Result) const {
+                 FailureDetectorOutput &Result) const {
   if (const Peer *P = findPeer(Receiver)) {
     Result.Messages.push_back({Receiver, P->Record.At, std::move(Content)});
   }
 }
 
 void Group::sendProbe(const EntryName &Receiver, const Versions &LocalVersions,
-                      PendingProbe Pending, GroupStep &Result) {
+                      PendingProbe Pending, FailureDetectorOutput &Result) {
   const std::uint64_t Sequence = NextSequence++;
   PendingProbes.emplace(Sequence, std::move(Pending));
   std::vector<Member> Updates = takeUpdates();
@@ -224,7 +228,7 @@
 }
 
 void Group::probeNext(const Versions &LocalVersions, Instant Now,
-                      GroupStep &Result) {
+                      FailureDetectorOutput &Result) {
   while (true) {
     if (ProbeOrder.empty()) {
       for (const auto &[Entry, P] : Peers) {
@@ -248,7 +252,7 @@
 }
 
 void Group::probeDead(const Versions &LocalVersions, Instant Now,
-                      GroupStep &Result) {
+                      FailureDetectorOutput &Result) {
   std::vector<EntryName> DeadMembers;
   for (const auto &[Entry, P] : Peers) {
     if (P.Record.State == MemberState::Dead) {
@@ -261,7 +265,7 @@
   }
 }
 
-void Group::checkPendingProbes(Instant Now, GroupStep &Result) {
+void Group::checkPendingProbes(Instant Now, FailureDetectorOutput &Result) {
   std::vector<EntryName> UnansweredPeers;
   for (auto It = PendingProbes.begin(); It != PendingProbes.end();) {
     PendingProbe &Pending = It->second;
@@ -287,7 +291,7 @@
 
 void Group::requestIndirectProbes(std::uint64_t Sequence,
                                   const PendingProbe &Pending,
-                                  GroupStep &Result) {
+                                  FailureDetectorOutput &Result) {
   std::vector<EntryName> Helpers;
   for (const auto &[Entry, P] : Peers) {
     if (Entry != Pending.Subject && P.Record.State == MemberState::Alive) {
@@ -303,7 +307,7 @@
 }
 
 void Group::markSuspect(const EntryName &Entry, Instant Now,
-                        GroupStep &Result) {
+                        FailureDetectorOutput &Result) {
   const Peer *P = findPeer(Entry);
   if (P == nullptr || P->Record.State != MemberState::Alive) {
     return;
@@ -313,7 +317,7 @@
   applyUpdate(SuspectedMember, Now, Result);
 }
 
-void Group::checkTimeouts(Instant Now, GroupStep &Result) {
+void Group::checkTimeouts(Instant Now, FailureDetectorOutput &Result) {
   std::vector<Member> DeadMembers;
   for (auto It = Peers.begin(); It != Peers.end();) {
     const Peer &P = It->second;
@@ -336,7 +340,7 @@
 }
 
 void Group::onProbe(const Probe &Content, const Versions &LocalVersions,
-                    Instant Now, GroupStep &Result) {
+                    Instant Now, FailureDetectorOutput &Result) {
   applyUpdate(Content.Sender, Now, Result);
   applyUpdates(Content.MemberUpdates, Now, Result);
   if (Content.Sender.State == MemberState::Left) {
@@ -353,7 +357,8 @@
   send(Content.Sender.Entry, std::move(Response), Result);
 }
 
-void Group::onAck(const Ack &Content, Instant Now, GroupStep &Result) {
+void Group::onAck(const Ack &Content, Instant Now,
+                  FailureDetectorOutput &Result) {
   applyUpdate(Content.Sender, Now, Result);
   applyUpdates(Content.MemberUpdates, Now, Result);
   Reports[Content.Sender.Entry] = {Content.InForce, Now};
@@ -372,7 +377,7 @@
 
 void Group::onProbeRequest(const ProbeRequest &Content,
                            const Versions &LocalVersions, Instant Now,
-                           GroupStep &Result) {
+                           FailureDetectorOutput &Result) {
   applyUpdate(Content.Sender, Now, Result);
   if (findPeer(Content.Subject) == nullptr) {
     return;
--- a/Source/Membership/include/balsamlatch/Membership/Group.h
+++ b/Source/Membership/include/balsamlatch/Membership/Group.h
@@ -43,7 +43,7 @@
 };
 
 /// Output of a call to Group, to be carried out by the caller.
-struct GroupStep {
+struct FailureDetectorOutput {
   std::vector<Outgoing> Messages;
   /// Whether the set of live members or the address of a member changed.
   bool LiveMembersChanged = false;
@@ -57,19 +57,19 @@
 
   /// Adds the members that are not yet known, in the state that they are given
   /// with. They come from the platform's host list or the settings.
-  GroupStep seed(const std::vector<Member> &Members, Instant Now);
+  FailureDetectorOutput seed(const std::vector<Member> &Members, Instant Now);
 
   /// Handles a Probe, Ack or ProbeRequest; ignores other messages.
-  GroupStep receive(const EntryName &Sender, const Message &Content,
-                    const Versions &LocalVersions, Instant Now);
+  FailureDetectorOutput receive(const EntryName &Sender, const Message &Content,
+                                const Versions &LocalVersions, Instant Now);
 
   /// Sends the probes that are due and checks the timeouts. The period of
   /// the calls should be well below AckTimeout.
-  GroupStep tick(const Versions &LocalVersions, Instant Now);
+  FailureDetectorOutput tick(const Versions &LocalVersions, Instant Now);
 
   /// Announces to some live members that this entry stops. Later messages are
   /// ignored.
-  GroupStep leave(Instant Now);
+  FailureDetectorOutput leave(Instant Now);
 
   /// Returns the alive and suspect members, including this entry, sorted by
   /// name.
@@ -110,9 +110,10 @@
     unsigned SendsLeft = 0;
   };
 
-  void applyUpdate(const Member &Update, Instant Now, GroupStep &Result);
+  void applyUpdate(const Member &Update, Instant Now,
+                   FailureDetectorOutput &Result);
   void applyUpdates(const std::vector<Member> &Updates, Instant Now,
-                    GroupStep &Result);
+                    FailureDetectorOutput &Result);
   /// Raises the incarnation if the update says that this entry isn't alive.
   void refute(const Member &Update);
   void queueUpdate(const EntryName &Entry);
@@ -121,27 +122,31 @@
   std::vector<Member> takeUpdates();
   const Peer *findPeer(const EntryName &Entry) const;
   void send(const EntryName &Receiver, Message Content,
-            GroupStep &Result) const;
+            FailureDetectorOutput &Result) const;
   void sendProbe(const EntryName &Receiver, const Versions &LocalVersions,
-                 PendingProbe Pending, GroupStep &Result);
-  void probeNext(const Versions &LocalVersions, Instant Now, GroupStep &Result);
-  void probeDead(const Versions &LocalVersions, Instant Now, GroupStep &Result);
+                 PendingProbe Pending, FailureDetectorOutput &Result);
+  void probeNext(const Versions &LocalVersions, Instant Now,
+                 FailureDetectorOutput &Result);
+  void probeDead(const Versions &LocalVersions, Instant Now,
+                 FailureDetectorOutput &Result);
   /// Requests indirect probes after the ack timeout and suspects the subject
   /// after the probe period.
-  void checkPendingProbes(Instant Now, GroupStep &Result);
+  void checkPendingProbes(Instant Now, FailureDetectorOutput &Result);
   void requestIndirectProbes(std::uint64_t Sequence,
-                             const PendingProbe &Pending, GroupStep &Result);
+                             const PendingProbe &Pending,
+                             FailureDetectorOutput &Result);
   /// Marks an alive member as suspect.
-  void markSuspect(const EntryName &Entry, Instant Now, GroupStep &Result);
+  void markSuspect(const EntryName &Entry, Instant Now,
+                   FailureDetectorOutput &Result);
   /// Declares suspect members dead after the suspicion timeout and forgets dead
   /// and left ones after the retention time.
-  void checkTimeouts(Instant Now, GroupStep &Result);
+  void checkTimeouts(Instant Now, FailureDetectorOutput &Result);
   void onProbe(const Probe &Content, const Versions &LocalVersions, Instant Now,
-               GroupStep &Result);
-  void onAck(const Ack &Content, Instant Now, GroupStep &Result);
+               FailureDetectorOutput &Result);
+  void onAck(const Ack &Content, Instant Now, FailureDetectorOutput &Result);
   void onProbeRequest(const ProbeRequest &Content,
                       const Versions &LocalVersions, Instant Now,
-                      GroupStep &Result);
+                      FailureDetectorOutput &Result);
 
   GroupOptions Options;
   Member Self;
--- a/Tests/Membership/GroupTest.cpp
+++ b/Tests/Membership/GroupTest.cpp
@@ -120,7 +120,7 @@
             MemberState::Alive};
   }
 
-  void handleResult(const EntryName &Sender, GroupStep Result) {
+  void handleResult(const EntryName &Sender, FailureDetectorOutput Result) {
     for (Outgoing &O : Result.Messages) {
       ++MessagesSent;
       MessageQueue.push_back({Now + Latency, Sender, std::move(O)});
--- a/Utilities/Bench/MembershipBench.cpp
+++ b/Utilities/Bench/MembershipBench.cpp
@@ -185,7 +185,7 @@
     ChangedAt = Now;
   }
 
-  void takeGroup(std::size_t From, const GroupStep &Step) {
+  void takeGroup(std::size_t From, const FailureDetectorOutput &Step) {
     for (const Outgoing &O : Step.Messages) {
       send(From, O);
     }
