--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -66,10 +66,10 @@
       Config.Incarnation,
       membership::MemberState::Alive,
   };
-  membership::GroupOptions GroupOptions;
-  GroupOptions.Self = Self;
-  GroupOptions.Seed = Config.Incarnation;
-  Group.emplace(GroupOptions);
+  membership::FailureDetectorOptions FailureDetectorOptions;
+  FailureDetectorOptions.Self = Self;
+  FailureDetectorOptions.Seed = Config.Incarnation;
+  Group.emplace(FailureDetectorOptions);
   membership::ExchangeOptions ExchangeOptions;
   ExchangeOptions.Self = Self;
   ExchangeOptions.Keys = {Config.RulesKey, Config.LedgerKey};
--- a/Source/Membership/Group.cpp
+++ b/Source/Membership/Group.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-Group::Group(GroupOptions InitialOptions)
+Group::Group(FailureDetectorOptions InitialOptions)
     : Options(std::move(InitialOptions)), Self(Options.Self),
       Random(Options.Seed) {
   Self.State = MemberState::Alive;
--- a/Source/Membership/include/balsamlatch/Membership/Group.h
+++ b/Source/Membership/include/balsamlatch/Membership/Group.h
@@ -19,7 +19,7 @@
 
 namespace balsamlatch::membership {
 
-struct GroupOptions {
+struct FailureDetectorOptions {
   /// This entry. Its incarnation must be higher than at any earlier start, for
   /// example the time of the start in microseconds since the epoch.
   Member Self;
@@ -53,7 +53,7 @@
 /// Deterministic for a given seed.
 class Group {
 public:
-  explicit Group(GroupOptions Options);
+  explicit Group(FailureDetectorOptions Options);
 
   /// Adds the members that are not yet known, in the state that they are given
   /// with. They come from the platform's host list or the settings.
@@ -148,7 +148,7 @@
                       const Versions &LocalVersions, Instant Now,
                       FailureDetectorOutput &Result);
 
-  GroupOptions Options;
+  FailureDetectorOptions Options;
   Member Self;
   std::mt19937_64 Random;
   // Invariant: doesn't contain this entry.
--- a/Tests/Membership/GroupTest.cpp
+++ b/Tests/Membership/GroupTest.cpp
@@ -30,7 +30,7 @@
   }
 
   void add(const std::string &Name, std::uint64_t Incarnation) {
-    GroupOptions Options;
+    FailureDetectorOptions Options;
     Options.Self = member(Name, Incarnation);
     Options.Seed = Random();
     Groups[EntryName(Name)] = std::make_unique<Group>(Options);
--- a/Utilities/Bench/MembershipBench.cpp
+++ b/Utilities/Bench/MembershipBench.cpp
@@ -52,7 +52,8 @@
   std::uint64_t BytesSent = 0;
   std::uint64_t BytesTaken = 0;
 
-  Entry(const Member &M, const GroupOptions &G, const ExchangeOptions &E)
+  Entry(const Member &M, const FailureDetectorOptions &G,
+        const ExchangeOptions &E)
       : Self(M), Members(G), Documents(E),
         Sealer(M.Entry, M.Incarnation, Secret), Checker(M.Entry, Secret) {}
 };
@@ -94,7 +95,7 @@
       Index[Listed.back().Entry] = static_cast<std::size_t>(I);
     }
     for (const Member &M : Listed) {
-      GroupOptions G;
+      FailureDetectorOptions G;
       G.Self = M;
       G.Seed = Random();
       ExchangeOptions E;
