--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -245,7 +245,7 @@
   }
 }
 
-void PeerService::execute(membership::ExchangeStep Step) {
+void PeerService::execute(membership::ReplicatorOutput Step) {
   for (membership::Outgoing &Message : Step.Messages) {
     enqueue(Message.To, Message.At, std::move(Message.Content));
   }
--- a/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
@@ -98,7 +98,7 @@
   void updatePeerVersions(const EntryName &From,
                           const membership::Versions &ActiveVersions);
   void execute(membership::FailureDetectorOutput Step);
-  void execute(membership::ExchangeStep Step);
+  void execute(membership::ReplicatorOutput Step);
   void enqueue(const EntryName &To, const Address &Destination,
                wire::PeerMessage Message);
   void sendNextBatch(const EntryName &To);
--- a/Source/Membership/Exchange.cpp
+++ b/Source/Membership/Exchange.cpp
@@ -21,8 +21,8 @@
   }
 }
 
-ExchangeStep Exchange::view(std::vector<Member> Members, Instant Now) {
-  ExchangeStep Result;
+ReplicatorOutput Exchange::view(std::vector<Member> Members, Instant Now) {
+  ReplicatorOutput Result;
   LiveMembers = std::move(Members);
   std::vector<EntryName> LocalEntries;
   for (const Member &M : LiveMembers) {
@@ -42,9 +42,9 @@
   return Result;
 }
 
-ExchangeStep Exchange::receive(const EntryName &Sender, const Message &Content,
-                               Instant) {
-  ExchangeStep Result;
+ReplicatorOutput Exchange::receive(const EntryName &Sender,
+                                   const Message &Content, Instant) {
+  ReplicatorOutput Result;
   if (const auto *Push = std::get_if<DocumentPush>(&Content)) {
     const auto It = DocumentStates.find(Push->Content.Key);
     const Member *SenderMember = findMember(Sender);
@@ -67,9 +67,9 @@
   return Result;
 }
 
-ExchangeStep Exchange::heard(const EntryName &Sender,
-                             const Versions &SenderVersions, Instant Now) {
-  ExchangeStep Result;
+ReplicatorOutput Exchange::heard(const EntryName &Sender,
+                                 const Versions &SenderVersions, Instant Now) {
+  ReplicatorOutput Result;
   const Member *SenderMember = findMember(Sender);
   if (SenderMember == nullptr) {
     return Result;
@@ -90,9 +90,9 @@
   return Result;
 }
 
-ExchangeStep Exchange::watched(const DocumentKey &Key, const StoreReply &Reply,
-                               Instant Now) {
-  ExchangeStep Result;
+ReplicatorOutput Exchange::watched(const DocumentKey &Key,
+                                   const StoreReply &Reply, Instant Now) {
+  ReplicatorOutput Result;
   const auto It = DocumentStates.find(Key);
   if (It == DocumentStates.end()) {
     return Result;
@@ -120,8 +120,9 @@
   return Result;
 }
 
-ExchangeStep Exchange::adopted(const Document &AdoptedDocument, Instant Now) {
-  ExchangeStep Result;
+ReplicatorOutput Exchange::adopted(const Document &AdoptedDocument,
+                                   Instant Now) {
+  ReplicatorOutput Result;
   const auto It = DocumentStates.find(AdoptedDocument.Key);
   if (It == DocumentStates.end() ||
       AdoptedDocument.Version <= It->second.CurrentDocument.Version) {
@@ -143,8 +144,8 @@
   return Result;
 }
 
-ExchangeStep Exchange::tick(Instant Now) {
-  ExchangeStep Result;
+ReplicatorOutput Exchange::tick(Instant Now) {
+  ReplicatorOutput Result;
   openWatches(Now, Result);
   return Result;
 }
@@ -162,7 +163,7 @@
   return It != DocumentStates.end() && It->second.IsWatcher;
 }
 
-void Exchange::openWatches(Instant Now, ExchangeStep &Result) {
+void Exchange::openWatches(Instant Now, ReplicatorOutput &Result) {
   for (auto &[Key, S] : DocumentStates) {
     if (!S.IsWatcher || S.IsWatchOpen || Now < S.NextWatchAt) {
       continue;
@@ -175,7 +176,7 @@
 }
 
 void Exchange::sendPush(const Member &Receiver, const Document &Content,
-                        ExchangeStep &Result) const {
+                        ReplicatorOutput &Result) const {
   Result.Messages.push_back(
       {Receiver.Entry, Receiver.At, DocumentPush{Content}});
 }
--- a/Source/Membership/include/balsamlatch/Membership/Exchange.h
+++ b/Source/Membership/include/balsamlatch/Membership/Exchange.h
@@ -45,7 +45,7 @@
 };
 
 /// Output of a call to Exchange, to be carried out by the caller.
-struct ExchangeStep {
+struct ReplicatorOutput {
   std::vector<Outgoing> Messages;
   std::vector<WatchCall> Watches;
   /// Documents to verify. Call adopted() with each document that comes into
@@ -60,27 +60,27 @@
 
   /// Replaces the list of live entries, which includes this one, and chooses
   /// the watchers anew.
-  ExchangeStep view(std::vector<Member> Members, Instant Now);
+  ReplicatorOutput view(std::vector<Member> Members, Instant Now);
 
   /// Handles a DocumentPush or DocumentPull; ignores other messages.
-  ExchangeStep receive(const EntryName &Sender, const Message &Content,
-                       Instant Now);
+  ReplicatorOutput receive(const EntryName &Sender, const Message &Content,
+                           Instant Now);
 
   /// Handles the versions that another entry sent with a Probe or an Ack, and
   /// pulls the documents that are later there.
-  ExchangeStep heard(const EntryName &Sender, const Versions &SenderVersions,
-                     Instant Now);
+  ReplicatorOutput heard(const EntryName &Sender,
+                         const Versions &SenderVersions, Instant Now);
 
   /// Handles the store's reply to a watch.
-  ExchangeStep watched(const DocumentKey &Key, const StoreReply &Reply,
-                       Instant Now);
+  ReplicatorOutput watched(const DocumentKey &Key, const StoreReply &Reply,
+                           Instant Now);
 
   /// Records a verified document that is now in force at this entry. Ignored
   /// unless its version is higher than the current one.
-  ExchangeStep adopted(const Document &AdoptedDocument, Instant Now);
+  ReplicatorOutput adopted(const Document &AdoptedDocument, Instant Now);
 
   /// Opens the watches that are due. Call about every 100 ms.
-  ExchangeStep tick(Instant Now);
+  ReplicatorOutput tick(Instant Now);
 
   /// Returns the versions in force at this entry.
   Versions inForce() const;
@@ -106,9 +106,9 @@
     Instant NextPullAt{};
   };
 
-  void openWatches(Instant Now, ExchangeStep &Result);
+  void openWatches(Instant Now, ReplicatorOutput &Result);
   void sendPush(const Member &Receiver, const Document &Content,
-                ExchangeStep &Result) const;
+                ReplicatorOutput &Result) const;
   const Member *findMember(const EntryName &Entry) const;
 
   ExchangeOptions Options;
--- a/Tests/Membership/ExchangeTest.cpp
+++ b/Tests/Membership/ExchangeTest.cpp
@@ -90,7 +90,7 @@
     Instant OpenedAt{};
   };
 
-  void handleResult(std::size_t SenderIndex, ExchangeStep Result) {
+  void handleResult(std::size_t SenderIndex, ReplicatorOutput Result) {
     for (Outgoing &O : Result.Messages) {
       PushCount += std::holds_alternative<DocumentPush>(O.Content) ? 1 : 0;
       MessagesInFlight.push_back({SenderIndex, std::move(O)});
@@ -209,7 +209,7 @@
   Sim.StoredEntry = {2, "two"};
   Sim.run(70s);
   BOOST_TEST(Sim.countAtVersion(4) == 4u);
-  const ExchangeStep Result =
+  const ReplicatorOutput Result =
       Sim.exchange(0).receive(EntryName("e1"), DocumentPush{{Key, 3, "x"}}, {});
   BOOST_TEST(Result.Candidates.empty());
 }
--- a/Utilities/Bench/MembershipBench.cpp
+++ b/Utilities/Bench/MembershipBench.cpp
@@ -196,7 +196,7 @@
     }
   }
 
-  void takeExchange(std::size_t From, ExchangeStep Step) {
+  void takeExchange(std::size_t From, ReplicatorOutput Step) {
     for (const Outgoing &O : Step.Messages) {
       send(From, O);
     }
