--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -70,10 +70,10 @@
   FailureDetectorOptions.Self = Self;
   FailureDetectorOptions.Seed = Config.Incarnation;
   Group.emplace(FailureDetectorOptions);
-  membership::ExchangeOptions ExchangeOptions;
-  ExchangeOptions.Self = Self;
-  ExchangeOptions.Keys = {Config.RulesKey, Config.LedgerKey};
-  Exchange.emplace(ExchangeOptions);
+  membership::ReplicatorOptions ReplicatorOptions;
+  ReplicatorOptions.Self = Self;
+  ReplicatorOptions.Keys = {Config.RulesKey, Config.LedgerKey};
+  Exchange.emplace(ReplicatorOptions);
   ControlLoop.post([this] {
     std::vector<membership::Member> Seeds;
     for (const SeedPeer &Peer : Config.SeedPeers) {
--- a/Source/Membership/Exchange.cpp
+++ b/Source/Membership/Exchange.cpp
@@ -10,7 +10,7 @@
 
 namespace balsamlatch::membership {
 
-Exchange::Exchange(ExchangeOptions InitialOptions)
+Exchange::Exchange(ReplicatorOptions InitialOptions)
     : Options(std::move(InitialOptions)) {
   LiveMembers.push_back(Options.Self);
   for (const DocumentKey &Key : Options.Keys) {
--- a/Source/Membership/include/balsamlatch/Membership/Exchange.h
+++ b/Source/Membership/include/balsamlatch/Membership/Exchange.h
@@ -21,7 +21,7 @@
 
 namespace balsamlatch::membership {
 
-struct ExchangeOptions {
+struct ReplicatorOptions {
   Member Self;
   std::vector<DocumentKey> Keys;
   /// Number of entries in each data centre that watch a document.
@@ -56,7 +56,7 @@
 /// Replication state of one entry. Not thread safe. Deterministic.
 class Exchange {
 public:
-  explicit Exchange(ExchangeOptions Options);
+  explicit Exchange(ReplicatorOptions Options);
 
   /// Replaces the list of live entries, which includes this one, and chooses
   /// the watchers anew.
@@ -111,7 +111,7 @@
                 ReplicatorOutput &Result) const;
   const Member *findMember(const EntryName &Entry) const;
 
-  ExchangeOptions Options;
+  ReplicatorOptions Options;
   std::vector<Member> LiveMembers;
   // Invariant: the keys are those of Options.Keys.
   std::map<DocumentKey, DocumentState> DocumentStates;
--- a/Tests/Membership/ExchangeTest.cpp
+++ b/Tests/Membership/ExchangeTest.cpp
@@ -36,7 +36,7 @@
                          MemberState::Alive});
     }
     for (const Member &M : Members) {
-      ExchangeOptions Options;
+      ReplicatorOptions Options;
       Options.Self = M;
       Options.Keys = {Key};
       Nodes.push_back({M, std::make_unique<Exchange>(Options)});
--- a/Utilities/Bench/MembershipBench.cpp
+++ b/Utilities/Bench/MembershipBench.cpp
@@ -53,7 +53,7 @@
   std::uint64_t BytesTaken = 0;
 
   Entry(const Member &M, const FailureDetectorOptions &G,
-        const ExchangeOptions &E)
+        const ReplicatorOptions &E)
       : Self(M), Members(G), Documents(E),
         Sealer(M.Entry, M.Incarnation, Secret), Checker(M.Entry, Secret) {}
 };
@@ -98,7 +98,7 @@
       FailureDetectorOptions G;
       G.Self = M;
       G.Seed = Random();
-      ExchangeOptions E;
+      ReplicatorOptions E;
       E.Self = M;
       E.Keys = {Rules};
       Entries.push_back(std::make_unique<Entry>(M, G, E));
