--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -303,9 +303,10 @@
   Callbacks.LiveEntriesChanged = [this](std::vector<EntryName> Live) {
     Decisions.push({placement::EntriesChanged{std::move(Live)}, nullptr});
   };
-  Callbacks.EntryVersionsReported = [this](fleet::EntriesSeen Entries) {
-    Fleet.tryPush(fleet::FleetEvent(std::move(Entries)));
-  };
+  Callbacks.EntryVersionsReported =
+      [this](fleet::EntryVersionsReported Entries) {
+        Fleet.tryPush(fleet::FleetEvent(std::move(Entries)));
+      };
   return Callbacks;
 }
 
--- a/Source/Daemon/PeerService.cpp
+++ b/Source/Daemon/PeerService.cpp
@@ -340,7 +340,7 @@
     const auto It = Versions.find(Key);
     return It == Versions.end() ? 0 : It->second;
   };
-  fleet::EntriesSeen EntryVersions;
+  fleet::EntryVersionsReported EntryVersions;
   std::vector<PeerStatus> PeerStatuses;
   for (const membership::Member &Member : Group->live()) {
     const bool IsSelf = Member.Entry == Config.Entry;
--- a/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/PeerService.h
@@ -42,7 +42,7 @@
   std::function<void(std::vector<EntryName>)> LiveEntriesChanged;
   /// The ledger versions of the live entries; reported periodically and on
   /// changes.
-  std::function<void(fleet::EntriesSeen)> EntryVersionsReported;
+  std::function<void(fleet::EntryVersionsReported)> EntryVersionsReported;
 };
 
 /// Peer transport with membership and document exchange.
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -81,7 +81,7 @@
   void on(const WorkerReportReceived &Event) {
     Observations.record(Event, Now);
   }
-  void on(const EntriesSeen &Event);
+  void on(const EntryVersionsReported &Event);
   void on(const RulesReceived &Event) { Rules = Event.Rules; }
   void on(const DemandReported &Event) {
     Demand.take(Event, Now);
@@ -168,14 +168,18 @@
 
 /// The first MaxLeaseCandidates live entries by name request the lease. An
 /// entry that isn't in the list yet requests it too.
-void Controller::Impl::on(const EntriesSeen &Event) {
+void Controller::Impl::on(const EntryVersionsReported &Event) {
   Observations.record(Event, Now);
-  const auto EarlierEntries = std::count_if(
-      Event.Live.begin(), Event.Live.end(),
-      [this](const EntriesSeen::View &View) { return View.Entry < OwnEntry; });
-  const bool IsListed = std::any_of(
-      Event.Live.begin(), Event.Live.end(),
-      [this](const EntriesSeen::View &View) { return View.Entry == OwnEntry; });
+  const auto EarlierEntries =
+      std::count_if(Event.Live.begin(), Event.Live.end(),
+                    [this](const EntryVersionsReported::View &View) {
+                      return View.Entry < OwnEntry;
+                    });
+  const bool IsListed =
+      std::any_of(Event.Live.begin(), Event.Live.end(),
+                  [this](const EntryVersionsReported::View &View) {
+                    return View.Entry == OwnEntry;
+                  });
   IsLeaseCandidate = !IsListed || EarlierEntries < MaxLeaseCandidates;
 }
 
--- a/Source/Fleet/FleetObservations.cpp
+++ b/Source/Fleet/FleetObservations.cpp
@@ -36,7 +36,8 @@
   Observation.FailedReports = 0;
 }
 
-void FleetObservations::record(const EntriesSeen &Event, Instant Now) {
+void FleetObservations::record(const EntryVersionsReported &Event,
+                               Instant Now) {
   Entries = Event.Live;
   EntriesUpdatedAt = Now;
 }
@@ -103,7 +104,7 @@
 std::vector<EntryName>
 FleetObservations::entriesBehind(std::uint64_t Version) const {
   std::vector<EntryName> EntriesBehind;
-  for (const EntriesSeen::View &View : Entries) {
+  for (const EntryVersionsReported::View &View : Entries) {
     if (View.LedgerVersion < Version) {
       EntriesBehind.push_back(View.Entry);
     }
--- a/Source/Fleet/FleetObservations.h
+++ b/Source/Fleet/FleetObservations.h
@@ -47,7 +47,7 @@
   static constexpr unsigned MinFailedReports = 3;
 
   void record(const WorkerReportReceived &Event, Instant Now);
-  void record(const EntriesSeen &Event, Instant Now);
+  void record(const EntryVersionsReported &Event, Instant Now);
   void record(const HostListingReceived &Event);
   /// Records when each host entered its current state, and drops hosts that
   /// aren't in the ledger.
@@ -85,7 +85,7 @@
   std::uint32_t SlotsPerHost = DefaultSlotsPerHost;
   std::map<HostName, HostObservation> Hosts;
   std::optional<HostListing> Listing;
-  std::vector<EntriesSeen::View> Entries;
+  std::vector<EntryVersionsReported::View> Entries;
   std::optional<Instant> EntriesUpdatedAt;
 };
 
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -57,7 +57,7 @@
 };
 /// The ledger version that each live entry acts on, as its heartbeats report
 /// it.
-struct EntriesSeen {
+struct EntryVersionsReported {
   struct View {
     EntryName Entry;
     std::uint64_t LedgerVersion = 0;
@@ -98,8 +98,9 @@
 
 using FleetEvent =
     std::variant<LedgerReceived, StoreReplied, HostOrderReplyReceived,
-                 HostListingReceived, WorkerReportReceived, EntriesSeen,
-                 RulesReceived, DemandReported, OwnerOrderReceived, FleetTick>;
+                 HostListingReceived, WorkerReportReceived,
+                 EntryVersionsReported, RulesReceived, DemandReported,
+                 OwnerOrderReceived, FleetTick>;
 /// @}
 
 /// \name Actions
--- a/Tests/Fleet/LeaseTest.cpp
+++ b/Tests/Fleet/LeaseTest.cpp
@@ -19,7 +19,7 @@
 /// another entry holds the lease.
 int leaseRequests(int Index) {
   Controller FleetController({entry(Index), "region", 1});
-  EntriesSeen Views;
+  EntryVersionsReported Views;
   for (int I = 0; I < Entries; ++I) {
     Views.Live.push_back({entry(I), 1});
   }
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -271,7 +271,7 @@
 }
 
 void World::tickControllers() {
-  EntriesSeen Views;
+  EntryVersionsReported Views;
   for (unsigned I = 0; I < Entries.size(); ++I) {
     if (Time >= Entries[I].DisconnectedUntil) {
       Views.Live.push_back(
