--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -254,7 +254,7 @@
   Callbacks.PullBaseDocument = [this] {
     ControlLoop.post([this] { PeerEndpoint.pullBase(); });
   };
-  Callbacks.SendHostOrder = [this](fleet::GiveOrder Order) {
+  Callbacks.SendHostOrder = [this](fleet::SendHostOrder Order) {
     StoreLoop.post([this, HostOrder = std::move(Order)] {
       Platform.order(HostOrder.Order, [this, Origin = HostOrder.Of](
                                           absl::Status OrderStatus) {
--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -165,7 +165,7 @@
 void FleetThread::executeAction(fleet::FleetAction Action) {
   if (auto *Submit = std::get_if<fleet::SendStoreRequest>(&Action)) {
     Callbacks.SubmitControllerRequest(std::move(*Submit));
-  } else if (auto *Order = std::get_if<fleet::GiveOrder>(&Action)) {
+  } else if (auto *Order = std::get_if<fleet::SendHostOrder>(&Action)) {
     ++Status.Counters.HostOrders;
     Callbacks.SendHostOrder(std::move(*Order));
   } else if (auto *ReportRequest = std::get_if<fleet::AskWorker>(&Action)) {
--- a/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
@@ -33,7 +33,7 @@
   /// The reply is pushed to the fleet thread as balsamlatch::StoreReplied.
   std::function<void(StoreRequest)> SubmitRulesRequest;
   std::function<void()> PullBaseDocument;
-  std::function<void(fleet::GiveOrder)> SendHostOrder;
+  std::function<void(fleet::SendHostOrder)> SendHostOrder;
   std::function<void(HostName, Address)> RequestWorkerReport;
   std::function<void(fleet::AnswerOwnerOrder)> ReplyToOperator;
   /// Blocks while the engine's queue is full.
--- a/Source/Fleet/OrderTracker.cpp
+++ b/Source/Fleet/OrderTracker.cpp
@@ -19,7 +19,7 @@
   if (!IsWaiting && Now >= State.NextAttempt) {
     State.InFlight = OrderTicket;
     State.UpdatedAt = Now;
-    Actions.emplace_back(GiveOrder{OrderTicket, Order});
+    Actions.emplace_back(SendHostOrder{OrderTicket, Order});
   }
   return false;
 }
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -109,7 +109,7 @@
   Ticket Of;
   StoreRequest Request;
 };
-struct GiveOrder {
+struct SendHostOrder {
   Ticket Of;
   HostOrder Order;
 };
@@ -131,7 +131,7 @@
   boost::json::object Details;
 };
 
-using FleetAction = std::variant<SendStoreRequest, GiveOrder, AskWorker,
+using FleetAction = std::variant<SendStoreRequest, SendHostOrder, AskWorker,
                                  AnswerOwnerOrder, LogFleetDecision>;
 /// @}
 
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -244,7 +244,7 @@
   for (FleetAction &Action : Actions) {
     if (const auto *Submit = std::get_if<SendStoreRequest>(&Action)) {
       submit(Index, *Submit);
-    } else if (const auto *Send = std::get_if<GiveOrder>(&Action)) {
+    } else if (const auto *Send = std::get_if<SendHostOrder>(&Action)) {
       const bool ReplyLost =
           Time < LoseRepliesUntil && randomChance(LostReplyPercent);
       const unsigned Generation = Nodes[Index].Generation;
