--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -324,7 +324,7 @@
         HeadSeen{"exchange", Document.Version, std::move(Document.Text)}));
   } else {
     Fleet.tryPush(fleet::FleetEvent(
-        fleet::LedgerSeen{Document.Version, std::move(Document.Text)}));
+        fleet::LedgerReceived{Document.Version, std::move(Document.Text)}));
   }
 }
 
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -70,7 +70,9 @@
   bool leads() const { return Lease.holds(Now); }
 
 private:
-  void on(const LedgerSeen &Event) { receiveLedger(Event.Version, Event.Text); }
+  void on(const LedgerReceived &Event) {
+    receiveLedger(Event.Version, Event.Text);
+  }
   void on(const StoreReplied &Event);
   void on(const OrderReplied &Event) { HostOrders.recordReply(Event, Now); }
   void on(const HostListingReceived &Event) { Observations.record(Event); }
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -34,7 +34,7 @@
 /// \name Events
 /// @{
 /// A ledger version was received from a store watch or from a peer.
-struct LedgerSeen {
+struct LedgerReceived {
   std::uint64_t Version = 0;
   std::string Text;
 };
@@ -97,9 +97,9 @@
 struct FleetTick {};
 
 using FleetEvent =
-    std::variant<LedgerSeen, StoreReplied, OrderReplied, HostListingReceived,
-                 WorkerSeen, EntriesSeen, RulesSeen, DemandSeen, OperatorAsked,
-                 FleetTick>;
+    std::variant<LedgerReceived, StoreReplied, OrderReplied,
+                 HostListingReceived, WorkerSeen, EntriesSeen, RulesSeen,
+                 DemandSeen, OperatorAsked, FleetTick>;
 /// @}
 
 /// \name Actions
--- a/Tests/Fleet/WorldPlatform.cpp
+++ b/Tests/Fleet/WorldPlatform.cpp
@@ -96,7 +96,7 @@
   const StoreEntry Published = StoredLedger;
   for (unsigned I = 0; I < Nodes.size(); ++I) {
     schedule(random(1ms, 300ms), [this, I, Published] {
-      deliver(I, LedgerSeen{Published.Version, Published.Value});
+      deliver(I, LedgerReceived{Published.Version, Published.Value});
     });
   }
 }
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -120,7 +120,7 @@
   constexpr int Steps = 2400;
   for (int I = 0; I < Steps; ++I) {
     Now += FleetTickPeriod;
-    Leader.handle(LedgerSeen{2, Text}, Now, Wall);
+    Leader.handle(LedgerReceived{2, Text}, Now, Wall);
     const double Begin = cpuSeconds();
     const std::vector<FleetAction> Actions =
         Leader.handle(FleetTick(), Now, Wall);
