--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -342,7 +342,7 @@
       if (Report.ok()) {
         Decisions.tryPush({placement::WorkerReported{Host, *Report}, nullptr});
       }
-      fleet::WorkerSeen Observation;
+      fleet::WorkerReportReceived Observation;
       Observation.Host = Host;
       Observation.Status = Report.status();
       if (Report.ok()) {
--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -154,7 +154,8 @@
     if (ListingEvent->Listing.Generation >= Listing.Generation) {
       Listing = ListingEvent->Listing;
     }
-  } else if (const auto *WorkerEvent = std::get_if<fleet::WorkerSeen>(&Event)) {
+  } else if (const auto *WorkerEvent =
+                 std::get_if<fleet::WorkerReportReceived>(&Event)) {
     if (WorkerEvent->Status.ok() && WorkerEvent->Report.SlotsTotal > 0) {
       SlotsByHost[WorkerEvent->Host] = WorkerEvent->Report.SlotsTotal;
     }
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -76,7 +76,9 @@
   void on(const StoreReplied &Event);
   void on(const OrderReplied &Event) { HostOrders.recordReply(Event, Now); }
   void on(const HostListingReceived &Event) { Observations.record(Event); }
-  void on(const WorkerSeen &Event) { Observations.record(Event, Now); }
+  void on(const WorkerReportReceived &Event) {
+    Observations.record(Event, Now);
+  }
   void on(const EntriesSeen &Event);
   void on(const RulesSeen &Event) { Rules = Event.Rules; }
   void on(const DemandSeen &Event) {
--- a/Source/Fleet/FleetObservations.cpp
+++ b/Source/Fleet/FleetObservations.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void FleetObservations::record(const WorkerSeen &Event, Instant Now) {
+void FleetObservations::record(const WorkerReportReceived &Event, Instant Now) {
   HostObservation &Observation = Hosts[Event.Host];
   Observation.AnsweredAt = Now;
   if (!Event.Status.ok()) {
--- a/Source/Fleet/FleetObservations.h
+++ b/Source/Fleet/FleetObservations.h
@@ -46,7 +46,7 @@
   static constexpr Duration LossTimeout = std::chrono::seconds(20);
   static constexpr unsigned MinFailedReports = 3;
 
-  void record(const WorkerSeen &Event, Instant Now);
+  void record(const WorkerReportReceived &Event, Instant Now);
   void record(const EntriesSeen &Event, Instant Now);
   void record(const HostListingReceived &Event);
   /// Records when each host entered its current state, and drops hosts that
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -49,7 +49,7 @@
 struct HostListingReceived {
   HostListing Listing;
 };
-struct WorkerSeen {
+struct WorkerReportReceived {
   HostName Host;
   /// OK if Report is set; otherwise why the worker couldn't be asked.
   absl::Status Status;
@@ -98,8 +98,8 @@
 
 using FleetEvent =
     std::variant<LedgerReceived, StoreReplied, OrderReplied,
-                 HostListingReceived, WorkerSeen, EntriesSeen, RulesSeen,
-                 DemandSeen, OperatorAsked, FleetTick>;
+                 HostListingReceived, WorkerReportReceived, EntriesSeen,
+                 RulesSeen, DemandSeen, OperatorAsked, FleetTick>;
 /// @}
 
 /// \name Actions
--- a/Tests/Fleet/WorldPlatform.cpp
+++ b/Tests/Fleet/WorldPlatform.cpp
@@ -158,7 +158,7 @@
   if (Target.IsRemoved) {
     return;
   }
-  WorkerSeen Event;
+  WorkerReportReceived Event;
   Event.Host = Name;
   if (!Target.IsUp || Time < Target.ReportsBlockedUntil) {
     Event.Status = absl::UnavailableError("no answer");
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -135,9 +135,10 @@
       } else if (const auto *Ask = std::get_if<AskWorker>(&Action)) {
         ++Asked;
         const double Before = cpuSeconds();
-        Leader.handle(
-            WorkerSeen{Ask->Host, absl::OkStatus(), {false, 0, 8, 1, {}}}, Now,
-            Wall);
+        Leader.handle(WorkerReportReceived{Ask->Host,
+                                           absl::OkStatus(),
+                                           {false, 0, 8, 1, {}}},
+                      Now, Wall);
         Reports += cpuSeconds() - Before;
       }
     }
