--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -130,7 +130,7 @@
       std::make_shared<const std::string>(RulesAdoption.state()->text()));
   Status.RulesBase.set(
       std::make_shared<const std::string>(RulesAdoption.baseDocument()));
-  handle(fleet::FleetEvent(fleet::RulesSeen{std::move(NewRules)}));
+  handle(fleet::FleetEvent(fleet::RulesReceived{std::move(NewRules)}));
 }
 
 void FleetThread::logAdoptionReport(AdoptionReport Report) {
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -80,7 +80,7 @@
     Observations.record(Event, Now);
   }
   void on(const EntriesSeen &Event);
-  void on(const RulesSeen &Event) { Rules = Event.Rules; }
+  void on(const RulesReceived &Event) { Rules = Event.Rules; }
   void on(const DemandSeen &Event) {
     Demand.take(Event, Now);
     RequiredHosts = Demand.warmedUp(Now)
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -66,7 +66,7 @@
   };
   std::vector<View> Live;
 };
-struct RulesSeen {
+struct RulesReceived {
   RuleSetPtr Rules;
 };
 /// Slots in use and queued in each pool, summed over the entries.
@@ -99,7 +99,7 @@
 using FleetEvent =
     std::variant<LedgerReceived, StoreReplied, OrderReplied,
                  HostListingReceived, WorkerReportReceived, EntriesSeen,
-                 RulesSeen, DemandSeen, OperatorAsked, FleetTick>;
+                 RulesReceived, DemandSeen, OperatorAsked, FleetTick>;
 /// @}
 
 /// \name Actions
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -57,7 +57,7 @@
     ControllerNode.FleetController =
         std::make_unique<Controller>(ControllerOptions{
             EntryName(fmt::format("e{}", I)), "r", Settings.Seed * 31 + I});
-    deliver(I, RulesSeen{Rules});
+    deliver(I, RulesReceived{Rules});
   }
   schedule(0us, [this] { tickListing(); });
   schedule(10ms, [this] { tickControllers(); });
@@ -73,7 +73,7 @@
       ControllerOptions{EntryName(fmt::format("e{}", Index)), "r",
                         Settings.Seed * 31 + Index +
                             std::uint64_t(1000) * ControllerNode.Generation});
-  deliver(Index, RulesSeen{Rules});
+  deliver(Index, RulesReceived{Rules});
 }
 
 std::vector<HostName> World::inconsistentWorkers() const {
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -112,8 +112,8 @@
   Instant Now(1h);
   const WallTime Wall(1h);
   Leader.handle(
-      RulesSeen{std::make_shared<RuleSet>(worldRules(Options, 100000h))}, Now,
-      Wall);
+      RulesReceived{std::make_shared<RuleSet>(worldRules(Options, 100000h))},
+      Now, Wall);
   double Ticks = 0;
   double Reports = 0;
   std::uint64_t Asked = 0;
