--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -81,7 +81,7 @@
   }
   void on(const EntriesSeen &Event);
   void on(const RulesReceived &Event) { Rules = Event.Rules; }
-  void on(const DemandSeen &Event) {
+  void on(const DemandReported &Event) {
     Demand.take(Event, Now);
     RequiredHosts = Demand.warmedUp(Now)
                         ? Demand.requiredHosts(Observations.slotsPerHost())
--- a/Source/Fleet/DemandTracker.cpp
+++ b/Source/Fleet/DemandTracker.cpp
@@ -14,12 +14,12 @@
 
 } // namespace
 
-void DemandTracker::take(const DemandSeen &Event, Instant Now) {
+void DemandTracker::take(const DemandReported &Event, Instant Now) {
   using Seconds = std::chrono::duration<double>;
   const double DecayExponent =
       FirstSample ? Seconds(Now - LastSample) / Seconds(SmoothingTime) : 0;
   const double Weight = 1 - std::exp(-DecayExponent);
-  for (const DemandSeen::PoolDemand &Demand : Event.Pools) {
+  for (const DemandReported::PoolDemand &Demand : Event.Pools) {
     const double Slots =
         static_cast<double>(Demand.SlotsInUse) + Demand.SlotsQueued;
     const auto [Mean, IsNew] = MeanSlots.emplace(Demand.Pool, Slots);
--- a/Source/Fleet/DemandTracker.h
+++ b/Source/Fleet/DemandTracker.h
@@ -21,7 +21,7 @@
   /// Observation time before the mean counts as lasting demand.
   static constexpr Duration WarmUpPeriod = std::chrono::minutes(5);
 
-  void take(const DemandSeen &Event, Instant Now);
+  void take(const DemandReported &Event, Instant Now);
 
   /// Whether WarmUpPeriod has passed since the first sample.
   bool warmedUp(Instant Now) const;
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -70,7 +70,7 @@
   RuleSetPtr Rules;
 };
 /// Slots in use and queued in each pool, summed over the entries.
-struct DemandSeen {
+struct DemandReported {
   struct PoolDemand {
     PoolName Pool;
     std::uint32_t SlotsInUse = 0;
@@ -99,7 +99,7 @@
 using FleetEvent =
     std::variant<LedgerReceived, StoreReplied, OrderReplied,
                  HostListingReceived, WorkerReportReceived, EntriesSeen,
-                 RulesReceived, DemandSeen, OperatorAsked, FleetTick>;
+                 RulesReceived, DemandReported, OperatorAsked, FleetTick>;
 /// @}
 
 /// \name Actions
--- a/Tests/Fleet/World.h
+++ b/Tests/Fleet/World.h
@@ -96,7 +96,7 @@
   const Controller &controller(unsigned Index) const {
     return *Nodes[Index].FleetController;
   }
-  void setDemand(DemandSeen Demand) { CurrentDemand = std::move(Demand); }
+  void setDemand(DemandReported Demand) { CurrentDemand = std::move(Demand); }
   Instant now() const { return Time; }
 
   /// Counters over the whole run.
@@ -190,7 +190,7 @@
   std::map<HostName, Host> Hosts;
   std::vector<Node> Nodes;
   std::vector<Entry> Entries;
-  DemandSeen CurrentDemand;
+  DemandReported CurrentDemand;
   std::vector<LedgerVersion> History;
   std::map<std::uint64_t, absl::Status> Answers;
   std::vector<LogFleetDecision> LogLines;
--- a/Tests/Fleet/WorldTest.cpp
+++ b/Tests/Fleet/WorldTest.cpp
@@ -259,7 +259,7 @@
   // The simulation starts at 01:00.
   Rules.Maintenance.Windows = {{1h + 10min, 2h}};
   World Simulation(Options, Rules);
-  DemandSeen HighDemand;
+  DemandReported HighDemand;
   HighDemand.Pools.push_back({PoolName("p0"), 70, 30});
   Simulation.setDemand(HighDemand);
   Simulation.run(9min);
@@ -280,7 +280,7 @@
     Rule.Away = {AwayBudget::Kind::Hosts, 1};
   }
   World Simulation(Options, Rules);
-  DemandSeen HighDemand;
+  DemandReported HighDemand;
   HighDemand.Pools.push_back({PoolName("p0"), 70, 0});
   Simulation.setDemand(HighDemand);
   const auto Members = [&](const char *Pool) {
--- a/Utilities/FleetBench/MoveBench.cpp
+++ b/Utilities/FleetBench/MoveBench.cpp
@@ -203,7 +203,7 @@
 class Planned {
 public:
   void operator()(Fleet &Around, const Demands &Now) {
-    DemandSeen Seen;
+    DemandReported Seen;
     for (unsigned I = 0; I < Queues; ++I) {
       Seen.Pools.push_back({PoolName(fmt::format("p{}", I)),
                             static_cast<std::uint32_t>(Now[I]), 0});
