--- a/Source/Daemon/Daemon.cpp
+++ b/Source/Daemon/Daemon.cpp
@@ -238,7 +238,7 @@
 
 FleetCallbacks Daemon::Impl::fleetCallbacks() {
   FleetCallbacks Callbacks;
-  Callbacks.SubmitControllerRequest = [this](fleet::SubmitToStore Submit) {
+  Callbacks.SubmitControllerRequest = [this](fleet::SendStoreRequest Submit) {
     PlatformStore.submit(std::move(Submit.Request),
                          [this, Origin = Submit.Of](StoreReply Reply) {
                            Fleet.tryPush(fleet::FleetEvent(
--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -163,7 +163,7 @@
 }
 
 void FleetThread::executeAction(fleet::FleetAction Action) {
-  if (auto *Submit = std::get_if<fleet::SubmitToStore>(&Action)) {
+  if (auto *Submit = std::get_if<fleet::SendStoreRequest>(&Action)) {
     Callbacks.SubmitControllerRequest(std::move(*Submit));
   } else if (auto *Order = std::get_if<fleet::GiveOrder>(&Action)) {
     ++Status.Counters.HostOrders;
--- a/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
+++ b/Source/Daemon/include/balsamlatch/Daemon/FleetThread.h
@@ -29,7 +29,7 @@
 
 /// Receivers of the actions. Called on the fleet thread.
 struct FleetCallbacks {
-  std::function<void(fleet::SubmitToStore)> SubmitControllerRequest;
+  std::function<void(fleet::SendStoreRequest)> SubmitControllerRequest;
   /// The reply is pushed to the fleet thread as balsamlatch::StoreReplied.
   std::function<void(StoreRequest)> SubmitRulesRequest;
   std::function<void()> PullBaseDocument;
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -95,7 +95,7 @@
 
   Ticket newTicket() { return Ticket(++LastTicket); }
   void submit(StoreRequest Request, Ticket StoreTicket) {
-    Actions.emplace_back(SubmitToStore{StoreTicket, std::move(Request)});
+    Actions.emplace_back(SendStoreRequest{StoreTicket, std::move(Request)});
   }
 
   void receiveLedger(std::uint64_t Version, std::string_view Text);
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -104,7 +104,7 @@
 
 /// \name Actions
 /// @{
-struct SubmitToStore {
+struct SendStoreRequest {
   Ticket Of;
   StoreRequest Request;
 };
@@ -130,7 +130,7 @@
   boost::json::object Details;
 };
 
-using FleetAction = std::variant<SubmitToStore, GiveOrder, AskWorker,
+using FleetAction = std::variant<SendStoreRequest, GiveOrder, AskWorker,
                                  AnswerOwnerOrder, LogFleetDecision>;
 /// @}
 
--- a/Tests/Fleet/LeaseTest.cpp
+++ b/Tests/Fleet/LeaseTest.cpp
@@ -29,7 +29,7 @@
   for (; Now < Instant(std::chrono::minutes(10)); Now += FleetTickPeriod) {
     for (const FleetAction &Action :
          FleetController.handle(FleetTick{}, Now, WallTime())) {
-      const auto *Submit = std::get_if<SubmitToStore>(&Action);
+      const auto *Submit = std::get_if<SendStoreRequest>(&Action);
       if (Submit == nullptr ||
           !std::holds_alternative<LeaseAcquire>(Submit->Request)) {
         continue;
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -242,7 +242,7 @@
 
 void World::execute(unsigned Index, std::vector<FleetAction> Actions) {
   for (FleetAction &Action : Actions) {
-    if (const auto *Submit = std::get_if<SubmitToStore>(&Action)) {
+    if (const auto *Submit = std::get_if<SendStoreRequest>(&Action)) {
       submit(Index, *Submit);
     } else if (const auto *Send = std::get_if<GiveOrder>(&Action)) {
       const bool ReplyLost =
--- a/Tests/Fleet/World.h
+++ b/Tests/Fleet/World.h
@@ -157,7 +157,7 @@
   void reply(Duration Delay, unsigned Index, FleetEvent Event);
   void seedLedger();
   void execute(unsigned Index, std::vector<FleetAction> Actions);
-  void submit(unsigned Index, const SubmitToStore &Action);
+  void submit(unsigned Index, const SendStoreRequest &Action);
   StoreReply apply(const StoreRequest &Request);
   StoreReply applySwap(const StoreSwap &Swap);
   StoreReply applyLease(const LeaseAcquire &Acquire);
--- a/Tests/Fleet/WorldPlatform.cpp
+++ b/Tests/Fleet/WorldPlatform.cpp
@@ -36,7 +36,7 @@
   });
 }
 
-void World::submit(unsigned Index, const SubmitToStore &Action) {
+void World::submit(unsigned Index, const SendStoreRequest &Action) {
   if (Time < StoreDownUntil) {
     reply(random(1ms, 20ms), Index,
           StoreReplied{Action.Of, {absl::UnavailableError("down"), {}}});
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -126,7 +126,7 @@
         Leader.handle(FleetTick(), Now, Wall);
     Ticks += cpuSeconds() - Begin;
     for (const FleetAction &Action : Actions) {
-      if (const auto *Submit = std::get_if<SubmitToStore>(&Action)) {
+      if (const auto *Submit = std::get_if<SendStoreRequest>(&Action)) {
         if (const auto *Lease = std::get_if<LeaseAcquire>(&Submit->Request)) {
           Leader.handle(
               StoreReplied{Submit->Of, {absl::OkStatus(), {1, Lease->Holder}}},
