--- a/Source/Fleet/Budget.cpp
+++ b/Source/Fleet/Budget.cpp
@@ -107,9 +107,10 @@
   DataCentres[Record.DataCentre].Away += AwayIncrement;
 }
 
-std::vector<Blocker> mayGoAway(const AwayCounts &Counts, const RuleSet &Rules,
-                               const HostRecord &Record,
-                               const RequiredHostCounts &RequiredHosts) {
+std::vector<Blocker> absenceBlockers(const AwayCounts &Counts,
+                                     const RuleSet &Rules,
+                                     const HostRecord &Record,
+                                     const RequiredHostCounts &RequiredHosts) {
   std::vector<Blocker> Blockers;
   if (Record.away()) {
     return Blockers;
@@ -124,15 +125,15 @@
   return Blockers;
 }
 
-std::vector<Blocker> mayGoAway(const Ledger &CurrentLedger,
-                               const RuleSet &Rules, const HostName &Host,
-                               const RequiredHostCounts &RequiredHosts) {
+std::vector<Blocker> absenceBlockers(const Ledger &CurrentLedger,
+                                     const RuleSet &Rules, const HostName &Host,
+                                     const RequiredHostCounts &RequiredHosts) {
   const auto Record = CurrentLedger.Hosts.find(Host);
   if (Record == CurrentLedger.Hosts.end()) {
     return {{"host-unknown", 0, "the ledger has no host " + Host.Text}};
   }
-  return mayGoAway(AwayCounts(CurrentLedger), Rules, Record->second,
-                   RequiredHosts);
+  return absenceBlockers(AwayCounts(CurrentLedger), Rules, Record->second,
+                         RequiredHosts);
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Operations.cpp
+++ b/Source/Fleet/Operations.cpp
@@ -36,7 +36,7 @@
                     stateCode(Record->State), Record->InHand.Id));
   }
   const std::vector<Blocker> Blockers =
-      mayGoAway(NextLedger.value(), Rules, Host, RequiredHosts);
+      absenceBlockers(NextLedger.value(), Rules, Host, RequiredHosts);
   if (!Blockers.empty()) {
     return absl::FailedPreconditionError(describeBlockers(Blockers));
   }
--- a/Source/Fleet/Plan.cpp
+++ b/Source/Fleet/Plan.cpp
@@ -107,7 +107,7 @@
   std::vector<Candidate> Remaining;
   for (const Candidate Host : DueCandidates) {
     std::vector<Blocker> Blockers =
-        mayGoAway(Counts, Rules, Host->second, RequiredHosts);
+        absenceBlockers(Counts, Rules, Host->second, RequiredHosts);
     if (Blockers.empty()) {
       Counts.remove(Host->second);
       Counts.add(makeLeavingRecord(Host->second));
--- a/Source/Fleet/Recovery.cpp
+++ b/Source/Fleet/Recovery.cpp
@@ -50,7 +50,7 @@
   std::uint32_t BestAwayInRack = 0;
   for (const auto &[Host, Record] : CurrentLedger.Hosts) {
     if (Record.Pool != SparePool || Record.State != HostState::InService ||
-        !mayGoAway(Counts, Rules, Record, RequiredHosts).empty()) {
+        !absenceBlockers(Counts, Rules, Record, RequiredHosts).empty()) {
       continue;
     }
     const std::uint32_t AwayInRack = Counts.rack(Record.Rack).Away;
--- a/Source/Fleet/include/balsamlatch/Fleet/Budget.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Budget.h
@@ -75,14 +75,16 @@
 /// Everything that forbids that the host leaves service now, in the order pool,
 /// failure domains, demand; empty if it may leave. A host that is already away
 /// is never blocked.
-std::vector<Blocker> mayGoAway(const AwayCounts &Counts, const RuleSet &Rules,
-                               const HostRecord &Record,
-                               const RequiredHostCounts &RequiredHosts);
+std::vector<Blocker> absenceBlockers(const AwayCounts &Counts,
+                                     const RuleSet &Rules,
+                                     const HostRecord &Record,
+                                     const RequiredHostCounts &RequiredHosts);
 
 /// The same for the host with this name.
-std::vector<Blocker> mayGoAway(const Ledger &CurrentLedger,
-                               const RuleSet &Rules, const HostName &Host,
-                               const RequiredHostCounts &RequiredHosts = {});
+std::vector<Blocker>
+absenceBlockers(const Ledger &CurrentLedger, const RuleSet &Rules,
+                const HostName &Host,
+                const RequiredHostCounts &RequiredHosts = {});
 
 } // namespace balsamlatch::fleet
 
--- a/Utilities/FleetBench/MoveBench.cpp
+++ b/Utilities/FleetBench/MoveBench.cpp
@@ -115,7 +115,7 @@
   bool move(const PoolName &From, const PoolName &To) {
     Draft Next(Value, Version);
     for (const auto &[Host, Record] : Value.Hosts) {
-      if (Record.Pool == From && mayGoAway(Value, Rules, Host).empty() &&
+      if (Record.Pool == From && absenceBlockers(Value, Rules, Host).empty() &&
           !Record.away()) {
         (void)Next.change(Host, HostChange::Leave);
         Next.edit(Host).InHand.Kind = OperationKind::Move;
--- a/Utilities/FleetBench/PackingBench.cpp
+++ b/Utilities/FleetBench/PackingBench.cpp
@@ -56,7 +56,7 @@
   explicit Round(const Ledger &Value) : Counts(Value) {}
 
   bool add(const HostRecord &Host, const RuleSet &Rules) {
-    if (!mayGoAway(Counts, Rules, Host, {}).empty()) {
+    if (!absenceBlockers(Counts, Rules, Host, {}).empty()) {
       return false;
     }
     HostRecord Gone = Host;
