--- a/Source/Daemon/StatusPage.cpp
+++ b/Source/Daemon/StatusPage.cpp
@@ -75,12 +75,12 @@
                              {"rack", Record.Rack.Text},
                              {"data_centre", Record.DataCentre.Text},
                              {"state_version", Record.StateVersion}};
-  if (Record.InHand.Kind != fleet::OperationKind::None) {
-    Object["operation"] = Record.InHand.Id;
-    Object["cause"] = Record.InHand.Cause;
-    Object["since"] = formatTime(Record.InHand.Since);
-    if (!Record.InHand.Target.empty()) {
-      Object["target"] = Record.InHand.Target.Text;
+  if (Record.CurrentOperation.Kind != fleet::OperationKind::None) {
+    Object["operation"] = Record.CurrentOperation.Id;
+    Object["cause"] = Record.CurrentOperation.Cause;
+    Object["since"] = formatTime(Record.CurrentOperation.Since);
+    if (!Record.CurrentOperation.Target.empty()) {
+      Object["target"] = Record.CurrentOperation.Target.Text;
     }
   }
   if (Record.LastMaintained != WallTime{}) {
--- a/Source/Fleet/Audit.cpp
+++ b/Source/Fleet/Audit.cpp
@@ -93,7 +93,7 @@
         report(HistoryInvariant::RecordLifetime, Host,
                "left without having failed");
       }
-      EndedOperations.insert(OldRecord.InHand.Id);
+      EndedOperations.insert(OldRecord.CurrentOperation.Id);
     }
   }
 }
@@ -124,15 +124,14 @@
 }
 
 bool Auditor::replacementEnded(const HostName &LostHost) const {
-  return std::any_of(Current->Value.Hosts.begin(), Current->Value.Hosts.end(),
-                     [&](const auto &Item) {
-                       const auto OldRecord =
-                           Previous->Value.Hosts.find(Item.first);
-                       return Item.second.InHand.Replaces == LostHost &&
-                              OldRecord != Previous->Value.Hosts.end() &&
-                              OldRecord->second.away() &&
-                              Item.second.accepting();
-                     });
+  return std::any_of(
+      Current->Value.Hosts.begin(), Current->Value.Hosts.end(),
+      [&](const auto &Item) {
+        const auto OldRecord = Previous->Value.Hosts.find(Item.first);
+        return Item.second.CurrentOperation.Replaces == LostHost &&
+               OldRecord != Previous->Value.Hosts.end() &&
+               OldRecord->second.away() && Item.second.accepting();
+      });
 }
 
 void Auditor::checkPool(const HostName &Host, const HostRecord &OldRecord,
@@ -142,8 +141,8 @@
   }
   const bool IsMove = OldRecord.away() &&
                       NewRecord.State == HostState::OnProbation &&
-                      OldRecord.InHand.Kind == OperationKind::Move &&
-                      OldRecord.InHand.Target == NewRecord.Pool;
+                      OldRecord.CurrentOperation.Kind == OperationKind::Move &&
+                      OldRecord.CurrentOperation.Target == NewRecord.Pool;
   const bool IsReplacement = OldRecord.State == HostState::Failed &&
                              NewRecord.State == HostState::Failed &&
                              replacementEnded(Host);
@@ -182,16 +181,16 @@
 
 void Auditor::checkOperation(const HostName &Host, const HostRecord &OldRecord,
                              const HostRecord &NewRecord) {
-  if (OldRecord.InHand.Id == NewRecord.InHand.Id) {
+  if (OldRecord.CurrentOperation.Id == NewRecord.CurrentOperation.Id) {
     return;
   }
-  if (!OldRecord.InHand.Id.empty()) {
-    EndedOperations.insert(OldRecord.InHand.Id);
+  if (!OldRecord.CurrentOperation.Id.empty()) {
+    EndedOperations.insert(OldRecord.CurrentOperation.Id);
   }
-  if (!NewRecord.InHand.Id.empty() &&
-      EndedOperations.contains(NewRecord.InHand.Id)) {
+  if (!NewRecord.CurrentOperation.Id.empty() &&
+      EndedOperations.contains(NewRecord.CurrentOperation.Id)) {
     report(HistoryInvariant::RecordLifetime, Host,
-           "operation " + NewRecord.InHand.Id + " came back");
+           "operation " + NewRecord.CurrentOperation.Id + " came back");
   }
   if (startsPlannedAbsence(OldRecord, NewRecord) &&
       !Previous->Value.HaltedBy.empty() && !Current->Value.HaltedBy.empty()) {
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -225,7 +225,7 @@
   Observations.trackStates(CurrentLedger, Now);
   std::set<HostName> ActiveHosts;
   for (const auto &[Host, Record] : CurrentLedger.Hosts) {
-    if (!Record.InHand.Id.empty()) {
+    if (!Record.CurrentOperation.Id.empty()) {
       ActiveHosts.insert(Host);
     }
   }
@@ -339,7 +339,7 @@
       IdleReportPeriod, IdleReportPeriodPerHost * CurrentLedger.Hosts.size());
   for (const auto &[Host, Record] : CurrentLedger.Hosts) {
     const HostObservation &Observation = Observations.host(Host);
-    const bool IsActive = !Record.InHand.Id.empty() ||
+    const bool IsActive = !Record.CurrentOperation.Id.empty() ||
                           Observation.UnresponsiveSince ||
                           Record.State != HostState::InService;
     const Duration Period = IsActive ? ActiveReportPeriod : IdlePeriod;
--- a/Source/Fleet/HostReconciler.cpp
+++ b/Source/Fleet/HostReconciler.cpp
@@ -65,10 +65,10 @@
 
 Blocker HostReconciler::reconcileLeaving(const HostName &Host,
                                          const HostRecord &Record) {
-  if (!ensureOrder(HostOrderKind::Drain, Host, Record.InHand)) {
-    return orderBlocker(HostOrderKind::Drain, Host, Record.InHand);
+  if (!ensureOrder(HostOrderKind::Drain, Host, Record.CurrentOperation)) {
+    return orderBlocker(HostOrderKind::Drain, Host, Record.CurrentOperation);
   }
-  if (Record.InHand.Cancelled) {
+  if (Record.CurrentOperation.Cancelled) {
     return recall(Host, Record);
   }
   Blocker WaitBlocker = ensureIdle(Host, Record);
@@ -80,22 +80,22 @@
 
 Blocker HostReconciler::reconcileDrained(const HostName &Host,
                                          const HostRecord &Record) {
-  if (!ensureOrder(HostOrderKind::Drain, Host, Record.InHand)) {
-    return orderBlocker(HostOrderKind::Drain, Host, Record.InHand);
+  if (!ensureOrder(HostOrderKind::Drain, Host, Record.CurrentOperation)) {
+    return orderBlocker(HostOrderKind::Drain, Host, Record.CurrentOperation);
   }
-  if (Record.InHand.Cancelled) {
+  if (Record.CurrentOperation.Cancelled) {
     return recall(Host, Record);
   }
-  if (Record.InHand.Kind == OperationKind::Move) {
+  if (Record.CurrentOperation.Kind == OperationKind::Move) {
     return reconcileMove(Host, Record);
   }
-  if (Record.InHand.Kind != OperationKind::Maintain) {
+  if (Record.CurrentOperation.Kind != OperationKind::Maintain) {
     return {"host-held", 0, "drained until an owner returns it"};
   }
   Blocker WaitBlocker = ensureIdle(Host, Record);
   if (WaitBlocker.Reason.empty()) {
     applyChange(Host, HostChange::StartReboot, "host-rebooting");
-    NextLedger.edit(Host).InHand.PreRebootBootCount =
+    NextLedger.edit(Host).CurrentOperation.PreRebootBootCount =
         Context.Observations.host(Host).BootCount;
   }
   return WaitBlocker;
@@ -103,16 +103,17 @@
 
 Blocker HostReconciler::reconcileMove(const HostName &Host,
                                       const HostRecord &Record) {
-  if (!ensureAssigned(Host, Record.InHand, Record.InHand.Target)) {
+  if (!ensureAssigned(Host, Record.CurrentOperation,
+                      Record.CurrentOperation.Target)) {
     return {"waiting-order", 0, "the platform has not done the assignment"};
   }
-  Blocker WaitBlocker = ensureReturned(Host, Record.InHand);
+  Blocker WaitBlocker = ensureReturned(Host, Record.CurrentOperation);
   if (!WaitBlocker.Reason.empty()) {
     return WaitBlocker;
   }
   applyChange(Host, HostChange::Readmit, "host-moved");
-  NextLedger.edit(Host).Pool = Record.InHand.Target;
-  if (Record.InHand.PreRebootBootCount != 0) {
+  NextLedger.edit(Host).Pool = Record.CurrentOperation.Target;
+  if (Record.CurrentOperation.PreRebootBootCount != 0) {
     NextLedger.edit(Host).LastMaintained = Context.Wall;
   }
   completeReplacement(Record);
@@ -120,18 +121,20 @@
 }
 
 void HostReconciler::completeReplacement(const HostRecord &Replacement) {
-  const HostRecord *LostHost = NextLedger.find(Replacement.InHand.Replaces);
+  const HostRecord *LostHost =
+      NextLedger.find(Replacement.CurrentOperation.Replaces);
   if (LostHost == nullptr || LostHost->State != HostState::Failed ||
-      LostHost->Pool != Replacement.InHand.Target) {
+      LostHost->Pool != Replacement.CurrentOperation.Target) {
     return;
   }
   // The lost host gets the pool that its replacement left. Its record becomes a
   // move, so that the platform is told the new pool when the host returns.
-  HostRecord &ReplacedRecord = NextLedger.edit(Replacement.InHand.Replaces);
+  HostRecord &ReplacedRecord =
+      NextLedger.edit(Replacement.CurrentOperation.Replaces);
   ReplacedRecord.Pool = Replacement.Pool;
-  ReplacedRecord.InHand.Kind = OperationKind::Move;
-  ReplacedRecord.InHand.Target = Replacement.Pool;
-  ReplacedRecord.InHand.Replaces = HostName();
+  ReplacedRecord.CurrentOperation.Kind = OperationKind::Move;
+  ReplacedRecord.CurrentOperation.Target = Replacement.Pool;
+  ReplacedRecord.CurrentOperation.Replaces = HostName();
 }
 
 bool HostReconciler::ensureAssigned(const HostName &Host, const Operation &Op,
@@ -160,19 +163,19 @@
       Host, Observation.StateSince, Context.Now);
   if (HasReported && !Observation.Report->Draining &&
       !Context.Orders.completed(
-          orderId(Record.InHand.Id, HostOrderKind::Reboot))) {
+          orderId(Record.CurrentOperation.Id, HostOrderKind::Reboot))) {
     // The worker restarted by itself and lost its draining state.
     reissueOrder(HostOrderKind::Drain, Host);
     return {"waiting-worker", 0, "the worker takes tasks before its reboot"};
   }
-  if (!ensureOrder(HostOrderKind::Reboot, Host, Record.InHand)) {
-    return orderBlocker(HostOrderKind::Reboot, Host, Record.InHand);
+  if (!ensureOrder(HostOrderKind::Reboot, Host, Record.CurrentOperation)) {
+    return orderBlocker(HostOrderKind::Reboot, Host, Record.CurrentOperation);
   }
   if (!HasReported ||
-      Observation.BootCount <= Record.InHand.PreRebootBootCount) {
+      Observation.BootCount <= Record.CurrentOperation.PreRebootBootCount) {
     return {"waiting-reboot", 0, "the worker has not reported a new start"};
   }
-  Blocker WaitBlocker = ensureReturned(Host, Record.InHand);
+  Blocker WaitBlocker = ensureReturned(Host, Record.CurrentOperation);
   if (WaitBlocker.Reason.empty()) {
     applyChange(Host, HostChange::Readmit, "host-readmitted");
     NextLedger.edit(Host).LastMaintained = Context.Wall;
@@ -194,7 +197,7 @@
     return {"on-probation", 0, "must prove itself first"};
   }
   applyChange(Host, HostChange::PassProbation, "host-proved");
-  NextLedger.edit(Host).InHand = Operation();
+  NextLedger.edit(Host).CurrentOperation = Operation();
   return {};
 }
 
@@ -217,7 +220,7 @@
                                           Context.Now)) {
     return {"waiting-worker", 0, "the worker does not report"};
   }
-  const Operation &Op = Record.InHand;
+  const Operation &Op = Record.CurrentOperation;
   if (Op.Kind == OperationKind::Drain && !Op.Cancelled) {
     return {"host-held", 0, "drained until an owner returns it"};
   }
@@ -246,16 +249,16 @@
 }
 
 Blocker HostReconciler::recall(const HostName &Host, const HostRecord &Record) {
-  if (Record.InHand.Kind == OperationKind::Move) {
+  if (Record.CurrentOperation.Kind == OperationKind::Move) {
     // The platform may have assigned the host to the target already.
-    if (!ensureAssigned(Host, Record.InHand, Record.Pool)) {
+    if (!ensureAssigned(Host, Record.CurrentOperation, Record.Pool)) {
       return {"waiting-order", 0, "the platform has not taken the move back"};
     }
   }
-  Blocker WaitBlocker = ensureReturned(Host, Record.InHand);
+  Blocker WaitBlocker = ensureReturned(Host, Record.CurrentOperation);
   if (WaitBlocker.Reason.empty()) {
     applyChange(Host, HostChange::Recall, "host-recalled");
-    NextLedger.edit(Host).InHand = Operation();
+    NextLedger.edit(Host).CurrentOperation = Operation();
   }
   return WaitBlocker;
 }
@@ -297,7 +300,7 @@
 Blocker HostReconciler::ensureIdle(const HostName &Host,
                                    const HostRecord &Record) {
   const Instant CompletedAt = Context.Orders.completedAt(
-      orderId(Record.InHand.Id, HostOrderKind::Drain));
+      orderId(Record.CurrentOperation.Id, HostOrderKind::Drain));
   if (!Context.Observations.reportedSince(Host, CompletedAt, Context.Now)) {
     return {"waiting-worker", 0, "no fresh report of the worker"};
   }
@@ -347,8 +350,8 @@
                         {{"pool", Previous.Pool.Text},
                          {"from", stateCode(Previous.State)},
                          {"to", stateCode(NextLedger.find(Host)->State)},
-                         {"operation", Previous.InHand.Id},
-                         {"cause", Previous.InHand.Cause}});
+                         {"operation", Previous.CurrentOperation.Id},
+                         {"cause", Previous.CurrentOperation.Cause}});
 }
 
 } // namespace balsamlatch::fleet
--- a/Source/Fleet/Ledger.cpp
+++ b/Source/Fleet/Ledger.cpp
@@ -80,8 +80,8 @@
   json::array Fields = {Host.Pool.Text,    static_cast<int>(Host.State),
                         Host.Rack.Text,    Host.DataCentre.Text,
                         Host.StateVersion, toSeconds(Host.LastMaintained)};
-  if (Host.InHand != Operation()) {
-    Fields.push_back(encodeOperation(Host.InHand));
+  if (Host.CurrentOperation != Operation()) {
+    Fields.push_back(encodeOperation(Host.CurrentOperation));
   }
   return Fields;
 }
@@ -95,7 +95,7 @@
   Host.StateVersion = Fields.at(HostField::Version).to_number<std::uint64_t>();
   Host.LastMaintained = toWallTime(Fields.at(HostField::Maintained));
   if (Fields.size() > HostField::OperationInProgress) {
-    Host.InHand =
+    Host.CurrentOperation =
         decodeOperation(Fields.at(HostField::OperationInProgress).as_array());
   }
   return Host;
--- a/Source/Fleet/MovePlanner.cpp
+++ b/Source/Fleet/MovePlanner.cpp
@@ -27,17 +27,20 @@
   return static_cast<std::uint32_t>(std::count_if(
       CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(), [&](auto &Item) {
         const HostRecord &Record = Item.second;
-        const bool IsMoving = Record.InHand.Kind == OperationKind::Move &&
-                              !Record.InHand.Cancelled;
+        const bool IsMoving =
+            Record.CurrentOperation.Kind == OperationKind::Move &&
+            !Record.CurrentOperation.Cancelled;
         return Record.State != HostState::Failed &&
-               (IsMoving ? Record.InHand.Target : Record.Pool) == Pool;
+               (IsMoving ? Record.CurrentOperation.Target : Record.Pool) ==
+                   Pool;
       }));
 }
 
 bool moveInProgress(const Ledger &CurrentLedger) {
   return std::any_of(CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(),
                      [](const auto &Item) {
-                       return Item.second.InHand.Kind == OperationKind::Move &&
+                       return Item.second.CurrentOperation.Kind ==
+                                  OperationKind::Move &&
                               Item.second.away() &&
                               Item.second.State != HostState::Failed;
                      });
--- a/Source/Fleet/Operations.cpp
+++ b/Source/Fleet/Operations.cpp
@@ -33,7 +33,7 @@
   if (Record->away()) {
     return absl::FailedPreconditionError(
         fmt::format("host {} is {}, operation {}", Host.Text,
-                    stateCode(Record->State), Record->InHand.Id));
+                    stateCode(Record->State), Record->CurrentOperation.Id));
   }
   const std::vector<Blocker> Blockers =
       absenceBlockers(NextLedger.value(), Rules, Host, RequiredHosts);
@@ -45,7 +45,7 @@
     return ChangeStatus;
   }
   HostRecord &LeavingRecord = NextLedger.edit(Host);
-  LeavingRecord.InHand = Op;
+  LeavingRecord.CurrentOperation = Op;
   NextLedger.addLogLine(Host, "host-leaving", 0,
                         {{"pool", LeavingRecord.Pool.Text},
                          {"kind", operationCode(Op.Kind)},
@@ -61,18 +61,18 @@
     return;
   }
   HostRecord &FailedRecord = NextLedger.edit(Host);
-  if (FailedRecord.InHand.Id.empty()) {
-    FailedRecord.InHand.Id =
+  if (FailedRecord.CurrentOperation.Id.empty()) {
+    FailedRecord.CurrentOperation.Id =
         fmt::format("lost-{}-{}", Host.Text, FailedRecord.StateVersion);
   }
-  if (Previous.InHand.Kind == OperationKind::Maintain &&
+  if (Previous.CurrentOperation.Kind == OperationKind::Maintain &&
       NextLedger.value().Wave.DueHosts != 0) {
     ++NextLedger.editLedger().Wave.LostHosts;
   }
   NextLedger.addLogLine(Host, "host-lost", 0,
                         {{"pool", Previous.Pool.Text},
                          {"from", stateCode(Previous.State)},
-                         {"operation", FailedRecord.InHand.Id},
+                         {"operation", FailedRecord.CurrentOperation.Id},
                          {"why", LossCause}});
 }
 
--- a/Source/Fleet/OperatorOrders.cpp
+++ b/Source/Fleet/OperatorOrders.cpp
@@ -21,16 +21,16 @@
     return absl::FailedPreconditionError(
         fmt::format("host {} is {}", Host.Text, stateCode(Record->State)));
   }
-  const bool IsHeld = Record->InHand.Kind == OperationKind::Drain;
+  const bool IsHeld = Record->CurrentOperation.Kind == OperationKind::Drain;
   if (Record->State == HostState::Failed && !IsHeld) {
     return absl::FailedPreconditionError(
         "the host is lost; it returns when its worker reports again");
   }
-  if (!Record->InHand.Cancelled) {
-    NextLedger.edit(Host).InHand.Cancelled = true;
+  if (!Record->CurrentOperation.Cancelled) {
+    NextLedger.edit(Host).CurrentOperation.Cancelled = true;
     NextLedger.addLogLine(
         Host, "operation-cancelled", 0,
-        {{"by", Owner.Text}, {"operation", Record->InHand.Id}});
+        {{"by", Owner.Text}, {"operation", Record->CurrentOperation.Id}});
   }
   return absl::OkStatus();
 }
@@ -145,7 +145,8 @@
     WallTime Wall) const {
   const OwnerOrderReceived &Request = PendingOrder.Request;
   const HostRecord *Record = NextLedger.find(Request.Host);
-  if (Record != nullptr && Record->InHand.Id == PendingOrder.OperationId) {
+  if (Record != nullptr &&
+      Record->CurrentOperation.Id == PendingOrder.OperationId) {
     return absl::OkStatus();
   }
   if (Rules == nullptr) {
--- a/Source/Fleet/Plan.cpp
+++ b/Source/Fleet/Plan.cpp
@@ -129,7 +129,7 @@
   for (auto &[Host, Record] : ReturnedLedger.Hosts) {
     if (Record.State != HostState::Failed) {
       Record.State = HostState::InService;
-      Record.InHand = Operation();
+      Record.CurrentOperation = Operation();
     }
   }
   return AwayCounts(ReturnedLedger);
@@ -255,7 +255,8 @@
     const HostRecord &Record = CurrentLedger.Hosts.at(Host);
     Text += fmt::format("away      {:<20} {:<16} {:<15} {} {}", Host.Text,
                         Record.Pool.Text, stateCode(Record.State),
-                        operationCode(Record.InHand.Kind), Record.InHand.Cause);
+                        operationCode(Record.CurrentOperation.Kind),
+                        Record.CurrentOperation.Cause);
     const auto WaitBlocker = OperationBlockers.find(Host);
     Text += WaitBlocker == OperationBlockers.end()
                 ? std::string("\n")
@@ -301,8 +302,8 @@
         {"host", Host.Text},
         {"pool", Record.Pool.Text},
         {"state", stateCode(Record.State)},
-        {"operation", operationCode(Record.InHand.Kind)},
-        {"cause", Record.InHand.Cause},
+        {"operation", operationCode(Record.CurrentOperation.Kind)},
+        {"cause", Record.CurrentOperation.Cause},
         {"why", WaitBlocker == OperationBlockers.end()
                     ? boost::json::array()
                     : blockersJson({WaitBlocker->second})}});
--- a/Source/Fleet/Recovery.cpp
+++ b/Source/Fleet/Recovery.cpp
@@ -25,9 +25,10 @@
   return static_cast<std::uint32_t>(std::count_if(
       CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(), [&](auto &Item) {
         const HostRecord &Record = Item.second;
-        const bool IsArriving = Record.InHand.Kind == OperationKind::Move &&
-                                Record.InHand.Target == Pool &&
-                                !Record.InHand.Cancelled;
+        const bool IsArriving =
+            Record.CurrentOperation.Kind == OperationKind::Move &&
+            Record.CurrentOperation.Target == Pool &&
+            !Record.CurrentOperation.Cancelled;
         return IsArriving || (Record.Pool == Pool && Record.accepting());
       }));
 }
@@ -35,7 +36,7 @@
 bool hasReplacement(const Ledger &CurrentLedger, const HostName &LostHost) {
   return std::any_of(CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(),
                      [&](const auto &Item) {
-                       return Item.second.InHand.Replaces == LostHost;
+                       return Item.second.CurrentOperation.Replaces == LostHost;
                      });
 }
 
@@ -101,7 +102,7 @@
   for (const auto &[Host, Record] : NextLedger.value().Hosts) {
     // A host that an owner holds drained is left to the owner to replace.
     if (Record.State == HostState::Failed && Record.Pool != SpareRule->Pool &&
-        Record.InHand.Kind != OperationKind::Drain &&
+        Record.CurrentOperation.Kind != OperationKind::Drain &&
         Now - Observations.host(Host).StateSince >= ReplacementDelay) {
       LostHosts.push_back(Host);
     }
--- a/Source/Fleet/WavePlanner.cpp
+++ b/Source/Fleet/WavePlanner.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 bool inWave(const HostRecord &Record) {
-  return Record.InHand.Kind == OperationKind::Maintain &&
+  return Record.CurrentOperation.Kind == OperationKind::Maintain &&
          Record.State != HostState::Failed;
 }
 
@@ -23,7 +23,7 @@
   return static_cast<std::uint32_t>(std::count_if(
       CurrentLedger.Hosts.begin(), CurrentLedger.Hosts.end(), [&](auto &Item) {
         return Item.second.accepting() &&
-               Item.second.InHand.Kind != OperationKind::Maintain &&
+               Item.second.CurrentOperation.Kind != OperationKind::Maintain &&
                maintenanceDue(Item.second, Rules, Wall);
       }));
 }
@@ -48,11 +48,12 @@
   for (const auto &[Host, Record] : Ledger(NextLedger.value()).Hosts) {
     const bool IsBeforeReboot = Record.State == HostState::Leaving ||
                                 Record.State == HostState::Drained;
-    if (inWave(Record) && IsBeforeReboot && !Record.InHand.Cancelled) {
-      NextLedger.edit(Host).InHand.Cancelled = true;
+    if (inWave(Record) && IsBeforeReboot &&
+        !Record.CurrentOperation.Cancelled) {
+      NextLedger.edit(Host).CurrentOperation.Cancelled = true;
       NextLedger.addLogLine(
           Host, "operation-cancelled", Rule.Origin.Line,
-          {{"by", "wave-stopped"}, {"operation", Record.InHand.Id}});
+          {{"by", "wave-stopped"}, {"operation", Record.CurrentOperation.Id}});
     }
   }
 }
--- a/Source/Fleet/include/balsamlatch/Fleet/Ledger.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Ledger.h
@@ -77,7 +77,7 @@
   HostState State = HostState::InService;
   RackName Rack;
   DataCentreName DataCentre;
-  Operation InHand;
+  Operation CurrentOperation;
   /// Ledger version in which the state last changed.
   std::uint64_t StateVersion = 0;
   WallTime LastMaintained{};
--- a/Tests/Fleet/AuditTest.cpp
+++ b/Tests/Fleet/AuditTest.cpp
@@ -36,7 +36,7 @@
   Record.Rack = RackName("r");
   Record.DataCentre = DataCentreName("d");
   Record.StateVersion = Version;
-  Record.InHand.Id = Operation;
+  Record.CurrentOperation.Id = Operation;
   return Record;
 }
 
@@ -108,8 +108,8 @@
                                 record("p", HostState::InService, 1))},
       HistoryInvariant::SinglePool));
   HostRecord Moving = record("p", HostState::Drained, 1, "m");
-  Moving.InHand.Kind = OperationKind::Move;
-  Moving.InHand.Target = PoolName("q");
+  Moving.CurrentOperation.Kind = OperationKind::Move;
+  Moving.CurrentOperation.Target = PoolName("q");
   HostRecord Moved = Moving;
   Moved.Pool = PoolName("q");
   Moved.State = HostState::OnProbation;
--- a/Tests/Fleet/FaultTest.cpp
+++ b/Tests/Fleet/FaultTest.cpp
@@ -174,8 +174,8 @@
     if (Record.State != HostState::InService ||
         Record.LastMaintained < MaintenanceStart) {
       Text += " " + Host.Text + "=" + stateCode(Record.State) + "/" +
-              operationCode(Record.InHand.Kind) +
-              (Record.InHand.Cancelled ? "/cancelled" : "");
+              operationCode(Record.CurrentOperation.Kind) +
+              (Record.CurrentOperation.Cancelled ? "/cancelled" : "");
     }
   }
   return Text;
--- a/Tests/Fleet/LedgerTest.cpp
+++ b/Tests/Fleet/LedgerTest.cpp
@@ -34,14 +34,15 @@
     Record.LastMaintained = WallTime(1'800'000'000s);
     if (I % 10 == 0) {
       Record.State = HostState::Leaving;
-      Record.InHand = {OperationKind::Maintain,
-                       fmt::format("entry-ch-1-01-5f2e8b1c90d3a477-w{}", I),
-                       {},
-                       "rule line 17",
-                       WallTime(1'800'000'001s),
-                       12,
-                       false,
-                       {}};
+      Record.CurrentOperation = {
+          OperationKind::Maintain,
+          fmt::format("entry-ch-1-01-5f2e8b1c90d3a477-w{}", I),
+          {},
+          "rule line 17",
+          WallTime(1'800'000'001s),
+          12,
+          false,
+          {}};
     }
     Value.Hosts.emplace(HostName(fmt::format("worker-{:04}", I)), Record);
   }
--- a/Utilities/FleetBench/MoveBench.cpp
+++ b/Utilities/FleetBench/MoveBench.cpp
@@ -118,8 +118,8 @@
       if (Record.Pool == From && absenceBlockers(Value, Rules, Host).empty() &&
           !Record.away()) {
         (void)Next.change(Host, HostChange::Leave);
-        Next.edit(Host).InHand.Kind = OperationKind::Move;
-        Next.edit(Host).InHand.Target = To;
+        Next.edit(Host).CurrentOperation.Kind = OperationKind::Move;
+        Next.edit(Host).CurrentOperation.Target = To;
         adopt(Next);
         return true;
       }
@@ -139,9 +139,9 @@
         return false;
       }
       HostRecord &Record = Value.Hosts.at(Item.first);
-      Record.Pool = Record.InHand.Target;
+      Record.Pool = Record.CurrentOperation.Target;
       Record.State = HostState::InService;
-      Record.InHand = Operation();
+      Record.CurrentOperation = Operation();
       return true;
     });
   }
