--- a/Tests/Fleet/FaultTest.cpp
+++ b/Tests/Fleet/FaultTest.cpp
@@ -223,7 +223,7 @@
                              << ": " << Failure.Text);
     }
     BOOST_TEST(Simulation.counts().UnplannedReboots == 0u);
-    BOOST_TEST(Simulation.counts().LateTasks == 0u);
+    BOOST_TEST(Simulation.counts().MisplacedTasks == 0u);
   }
 }
 
--- a/Tests/Fleet/World.h
+++ b/Tests/Fleet/World.h
@@ -110,7 +110,7 @@
     std::uint64_t Reboots = 0;
     /// Tasks placed on a leaving host by an entry that should have known: it,
     /// and the store, had been reachable for more than 3 s.
-    std::uint64_t LateTasks = 0;
+    std::uint64_t MisplacedTasks = 0;
     std::uint64_t TasksStarted = 0;
     std::uint64_t Swaps = 0;
   };
--- a/Tests/Fleet/WorldPlatform.cpp
+++ b/Tests/Fleet/WorldPlatform.cpp
@@ -204,7 +204,7 @@
       CurrentRecord->second.State != HostState::Failed &&
       SourceEntry.Version < CurrentRecord->second.StateVersion &&
       SourceEntry.Version != 0) {
-    ++RunCounts.LateTasks;
+    ++RunCounts.MisplacedTasks;
   }
   Host &Worker = Hosts.at(Target->first);
   if (!Worker.IsUp || Worker.Draining || Worker.Running >= 8) {
--- a/Tests/Fleet/WorldTest.cpp
+++ b/Tests/Fleet/WorldTest.cpp
@@ -73,7 +73,7 @@
   BOOST_TEST(Fixture.Simulation.counts().Reboots == 1u);
   BOOST_TEST(Fixture.Simulation.counts().RebootsRefused == 0u);
   BOOST_TEST(Fixture.Simulation.counts().UndrainedReboots == 0u);
-  BOOST_TEST(Fixture.Simulation.counts().LateTasks == 0u);
+  BOOST_TEST(Fixture.Simulation.counts().MisplacedTasks == 0u);
   // The first ledger, then five state changes.
   BOOST_TEST(Fixture.Simulation.history().size() <= 7u);
   checkInvariants(Fixture.Simulation);
@@ -170,7 +170,7 @@
   BOOST_TEST(Fixture.Simulation.counts().Reboots == 50u);
   BOOST_TEST(Fixture.Simulation.counts().RebootsRefused == 0u);
   BOOST_TEST(Fixture.Simulation.counts().UndrainedReboots == 0u);
-  BOOST_TEST(Fixture.Simulation.counts().LateTasks == 0u);
+  BOOST_TEST(Fixture.Simulation.counts().MisplacedTasks == 0u);
   BOOST_TEST(Fixture.Simulation.counts().Swaps <= 6u * 50);
   checkInvariants(Fixture.Simulation);
 }
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -59,7 +59,7 @@
              Seed, std::chrono::duration<double>(Reboot).count(), Wave,
              MeanAway, Wave / Bound, Wave / Ideal,
              static_cast<double>(Around.counts().Swaps) / Options.Hosts,
-             Around.counts().RebootsRefused, Around.counts().LateTasks,
+             Around.counts().RebootsRefused, Around.counts().MisplacedTasks,
              Around.audit().size());
 }
 
