--- a/Tests/Fleet/FaultTest.cpp
+++ b/Tests/Fleet/FaultTest.cpp
@@ -148,7 +148,7 @@
 }
 
 RuleSet rulesFor(const WorldOptions &Options) {
-  RuleSet Rules = worldRules(Options, Period);
+  RuleSet Rules = simulationRules(Options, Period);
   for (auto &[Pool, Rule] : Rules.Pools) {
     Rule.Away = {AwayBudget::Kind::Hosts, 1};
   }
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-RuleSet worldRules(const WorldOptions &Options, Duration Period) {
+RuleSet simulationRules(const WorldOptions &Options, Duration Period) {
   RuleSet Rules;
   Rules.Version = RulesVersion(1);
   unsigned Line = 0;
--- a/Tests/Fleet/World.h
+++ b/Tests/Fleet/World.h
@@ -40,7 +40,7 @@
 
 /// Returns rules with pools p0..pN, of which the last one is the spare pool.
 /// One host in ten may be away in each pool.
-RuleSet worldRules(const WorldOptions &Options, Duration Period);
+RuleSet simulationRules(const WorldOptions &Options, Duration Period);
 
 /// The simulated fleet and its controllers.
 class World {
--- a/Tests/Fleet/WorldTest.cpp
+++ b/Tests/Fleet/WorldTest.cpp
@@ -33,7 +33,7 @@
 struct StartedSimulation {
   explicit StartedSimulation(WorldOptions Options = {},
                              Duration Period = 8 * 7 * 24h)
-      : Simulation(Options, worldRules(Options, Period)) {
+      : Simulation(Options, simulationRules(Options, Period)) {
     BOOST_REQUIRE(
         Simulation.runUntil([this] { return ledgerCreated(Simulation); }, 60s));
     Simulation.run(10s);
@@ -143,7 +143,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(MoveChangesThePool) {
-  RuleSet Rules = worldRules({}, 8 * 7 * 24h);
+  RuleSet Rules = simulationRules({}, 8 * 7 * 24h);
   for (auto &[Pool, Rule] : Rules.Pools) {
     Rule.Away = {AwayBudget::Kind::Hosts, 2};
   }
@@ -190,7 +190,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LostHostIsReplacedFromTheSparePool) {
-  RuleSet Rules = worldRules({}, 8 * 7 * 24h);
+  RuleSet Rules = simulationRules({}, 8 * 7 * 24h);
   World Simulation({}, Rules);
   BOOST_REQUIRE(
       Simulation.runUntil([&] { return ledgerCreated(Simulation); }, 60s));
@@ -257,7 +257,7 @@
 BOOST_AUTO_TEST_CASE(WaveRespectsWindowAndDemand) {
   WorldOptions Options;
   Options.MaintainedAgo = 1000h;
-  RuleSet Rules = worldRules(Options, 1000h);
+  RuleSet Rules = simulationRules(Options, 1000h);
   // The simulation starts at 01:00.
   Rules.Maintenance.Windows = {{1h + 10min, 2h}};
   World Simulation(Options, Rules);
@@ -277,7 +277,7 @@
 
 BOOST_AUTO_TEST_CASE(LastingDemandMovesASpareHost) {
   WorldOptions Options;
-  RuleSet Rules = worldRules(Options, 1000h);
+  RuleSet Rules = simulationRules(Options, 1000h);
   for (auto &[Pool, Rule] : Rules.Pools) {
     Rule.Away = {AwayBudget::Kind::Hosts, 1};
   }
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -35,7 +35,7 @@
   Options.RebootTime = Reboot;
   Options.MaintainedAgo = 1000h;
   Options.Seed = Seed;
-  World Around(Options, worldRules(Options, 1000h));
+  World Around(Options, simulationRules(Options, 1000h));
   const Instant Begin = Around.now();
   double AwaySeconds = 0;
   Instant LastAway = Begin;
@@ -81,7 +81,7 @@
   WorldOptions Options;
   Options.Hosts = Hosts;
   Options.Pools = Pools;
-  const RuleSet Rules = worldRules(Options, 1000h);
+  const RuleSet Rules = simulationRules(Options, 1000h);
   const Ledger Value = largeLedger(Hosts, Pools, Hosts > 500 ? 9 : 3);
   const WallTime Wall(2000h);
   constexpr int Repeats = 20;
@@ -111,9 +111,9 @@
   Controller Leader({EntryName("e"), "r", 1});
   Instant Now(1h);
   const WallTime Wall(1h);
-  Leader.handle(
-      RulesReceived{std::make_shared<RuleSet>(worldRules(Options, 100000h))},
-      Now, Wall);
+  Leader.handle(RulesReceived{std::make_shared<RuleSet>(
+                    simulationRules(Options, 100000h))},
+                Now, Wall);
   double Ticks = 0;
   double Reports = 0;
   std::uint64_t Asked = 0;
--- a/Utilities/FleetBench/PackingBench.cpp
+++ b/Utilities/FleetBench/PackingBench.cpp
@@ -40,7 +40,7 @@
   test::WorldOptions Options;
   Options.Hosts = Of.Hosts;
   Options.Pools = Of.Pools;
-  RuleSet Rules = test::worldRules(Options, 1000h);
+  RuleSet Rules = test::simulationRules(Options, 1000h);
   for (auto &[Pool, Rule] : Rules.Pools) {
     Rule.Away = {AwayBudget::Kind::Hosts, 1};
   }
