--- a/Tests/Fleet/FaultTest.cpp
+++ b/Tests/Fleet/FaultTest.cpp
@@ -136,8 +136,8 @@
     Fault{"owners' orders", submitRandomOrder},
 };
 
-WorldOptions optionsFor(std::uint64_t Seed) {
-  WorldOptions Options;
+SimulationOptions optionsFor(std::uint64_t Seed) {
+  SimulationOptions Options;
   Options.Hosts = 24;
   Options.Pools = 3;
   Options.Controllers = 2 + Seed % 2;
@@ -147,7 +147,7 @@
   return Options;
 }
 
-RuleSet rulesFor(const WorldOptions &Options) {
+RuleSet rulesFor(const SimulationOptions &Options) {
   RuleSet Rules = simulationRules(Options, Period);
   for (auto &[Pool, Rule] : Rules.Pools) {
     Rule.Away = {AwayBudget::Kind::Hosts, 1};
@@ -182,7 +182,7 @@
 }
 
 void runFaultPair(std::uint64_t Seed) {
-  const WorldOptions Options = optionsFor(Seed);
+  const SimulationOptions Options = optionsFor(Seed);
   FaultRun Run{World(Options, rulesFor(Options)), std::mt19937_64(Seed)};
   World &Simulation = Run.Simulation;
   const unsigned FirstFault = Run.randomBelow(Faults.size());
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-RuleSet simulationRules(const WorldOptions &Options, Duration Period) {
+RuleSet simulationRules(const SimulationOptions &Options, Duration Period) {
   RuleSet Rules;
   Rules.Version = RulesVersion(1);
   unsigned Line = 0;
@@ -34,7 +34,7 @@
   return Rules;
 }
 
-World::World(WorldOptions Options, RuleSet ActiveRules)
+World::World(SimulationOptions Options, RuleSet ActiveRules)
     : Settings(Options),
       Rules(std::make_shared<RuleSet>(std::move(ActiveRules))),
       RandomEngine(Options.Seed) {
--- a/Tests/Fleet/World.h
+++ b/Tests/Fleet/World.h
@@ -20,7 +20,7 @@
 namespace balsamlatch::fleet::test {
 
 /// Size, timing and seed of a simulation.
-struct WorldOptions {
+struct SimulationOptions {
   unsigned Hosts = 50;
   unsigned Pools = 5;
   unsigned HostsPerRack = 4;
@@ -40,12 +40,12 @@
 
 /// Returns rules with pools p0..pN, of which the last one is the spare pool.
 /// One host in ten may be away in each pool.
-RuleSet simulationRules(const WorldOptions &Options, Duration Period);
+RuleSet simulationRules(const SimulationOptions &Options, Duration Period);
 
 /// The simulated fleet and its controllers.
 class World {
 public:
-  World(WorldOptions Options, RuleSet ActiveRules);
+  World(SimulationOptions Options, RuleSet ActiveRules);
 
   void run(Duration Length);
   /// Runs until \p IsReached returns true, checked once per second, for at most
@@ -172,7 +172,7 @@
   void tickListing();
   void placeTask(Entry &SourceEntry);
 
-  WorldOptions Settings;
+  SimulationOptions Settings;
   RuleSetPtr Rules;
   std::mt19937_64 RandomEngine;
   Instant Time = Instant(std::chrono::hours(1));
--- a/Tests/Fleet/WorldTest.cpp
+++ b/Tests/Fleet/WorldTest.cpp
@@ -31,7 +31,7 @@
 
 /// A simulation in which the ledger is created and no maintenance is due.
 struct StartedSimulation {
-  explicit StartedSimulation(WorldOptions Options = {},
+  explicit StartedSimulation(SimulationOptions Options = {},
                              Duration Period = 8 * 7 * 24h)
       : Simulation(Options, simulationRules(Options, Period)) {
     BOOST_REQUIRE(
@@ -80,7 +80,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(DrainCanBeCancelledBeforeTheReboot) {
-  WorldOptions Options;
+  SimulationOptions Options;
   Options.Entries = 3;
   StartedSimulation Fixture(Options);
   Fixture.Simulation.blockLedgerUpdates(0, 60s);
@@ -255,7 +255,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(WaveRespectsWindowAndDemand) {
-  WorldOptions Options;
+  SimulationOptions Options;
   Options.MaintainedAgo = 1000h;
   RuleSet Rules = simulationRules(Options, 1000h);
   // The simulation starts at 01:00.
@@ -276,7 +276,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LastingDemandMovesASpareHost) {
-  WorldOptions Options;
+  SimulationOptions Options;
   RuleSet Rules = simulationRules(Options, 1000h);
   for (auto &[Pool, Rule] : Rules.Pools) {
     Rule.Away = {AwayBudget::Kind::Hosts, 1};
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -31,7 +31,7 @@
 }
 
 void runWave(Duration Reboot, std::uint64_t Seed) {
-  WorldOptions Options;
+  SimulationOptions Options;
   Options.RebootTime = Reboot;
   Options.MaintainedAgo = 1000h;
   Options.Seed = Seed;
@@ -78,7 +78,7 @@
 }
 
 void runPlanning(unsigned Hosts, unsigned Pools) {
-  WorldOptions Options;
+  SimulationOptions Options;
   Options.Hosts = Hosts;
   Options.Pools = Pools;
   const RuleSet Rules = simulationRules(Options, 1000h);
@@ -103,7 +103,7 @@
 
 /// A controller that leads, and the processor time of its events.
 void runTick(unsigned Hosts, unsigned Pools) {
-  WorldOptions Options;
+  SimulationOptions Options;
   Options.Hosts = Hosts;
   Options.Pools = Pools;
   const Ledger Value = largeLedger(Hosts, Pools, 9);
--- a/Utilities/FleetBench/PackingBench.cpp
+++ b/Utilities/FleetBench/PackingBench.cpp
@@ -37,7 +37,7 @@
 }
 
 RuleSet packingRules(const Setting &Of) {
-  test::WorldOptions Options;
+  test::SimulationOptions Options;
   Options.Hosts = Of.Hosts;
   Options.Pools = Of.Pools;
   RuleSet Rules = test::simulationRules(Options, 1000h);
