--- a/Source/Daemon/FleetThread.cpp
+++ b/Source/Daemon/FleetThread.cpp
@@ -168,7 +168,8 @@
   } else if (auto *Order = std::get_if<fleet::SendHostOrder>(&Action)) {
     ++Status.Counters.HostOrders;
     Callbacks.SendHostOrder(std::move(*Order));
-  } else if (auto *ReportRequest = std::get_if<fleet::AskWorker>(&Action)) {
+  } else if (auto *ReportRequest =
+                 std::get_if<fleet::RequestWorkerReport>(&Action)) {
     for (const ListedHost &Host : Listing.Hosts) {
       if (Host.Host == ReportRequest->Host) {
         Callbacks.RequestWorkerReport(Host.Host, Host.At);
--- a/Source/Fleet/Controller.cpp
+++ b/Source/Fleet/Controller.cpp
@@ -349,7 +349,7 @@
     const Duration Period = IsActive ? ActiveReportPeriod : IdlePeriod;
     if (!Observation.RequestedAt || Now - *Observation.RequestedAt >= Period) {
       Observations.recordRequest(Host, Now);
-      Actions.emplace_back(AskWorker{Host});
+      Actions.emplace_back(RequestWorkerReport{Host});
     }
   }
 }
--- a/Source/Fleet/include/balsamlatch/Fleet/Controller.h
+++ b/Source/Fleet/include/balsamlatch/Fleet/Controller.h
@@ -113,7 +113,7 @@
   Ticket Of;
   HostOrder Order;
 };
-struct AskWorker {
+struct RequestWorkerReport {
   HostName Host;
 };
 /// The result of an OwnerOrderReceived event. FailedPrecondition says why the
@@ -131,8 +131,9 @@
   boost::json::object Details;
 };
 
-using FleetAction = std::variant<SendStoreRequest, SendHostOrder, AskWorker,
-                                 AnswerOwnerOrder, LogFleetDecision>;
+using FleetAction =
+    std::variant<SendStoreRequest, SendHostOrder, RequestWorkerReport,
+                 AnswerOwnerOrder, LogFleetDecision>;
 /// @}
 
 struct ControllerOptions {
--- a/Tests/Fleet/World.cpp
+++ b/Tests/Fleet/World.cpp
@@ -259,7 +259,7 @@
                   HostOrderReplyReceived{Order.Of, std::move(OrderStatus)});
         }
       });
-    } else if (const auto *Ask = std::get_if<AskWorker>(&Action)) {
+    } else if (const auto *Ask = std::get_if<RequestWorkerReport>(&Action)) {
       schedule(random(1ms, 50ms),
                [this, Index, Name = Ask->Host] { report(Index, Name); });
     } else if (const auto *Answer = std::get_if<AnswerOwnerOrder>(&Action)) {
--- a/Utilities/FleetBench/FleetBench.cpp
+++ b/Utilities/FleetBench/FleetBench.cpp
@@ -132,7 +132,7 @@
               StoreReplied{Submit->Of, {absl::OkStatus(), {1, Lease->Holder}}},
               Now, Wall);
         }
-      } else if (const auto *Ask = std::get_if<AskWorker>(&Action)) {
+      } else if (const auto *Ask = std::get_if<RequestWorkerReport>(&Action)) {
         ++Asked;
         const double Before = cpuSeconds();
         Leader.handle(WorkerReportReceived{Ask->Host,
